--- a/internal/dispatch/crashes.go
+++ b/internal/dispatch/crashes.go
@@ -31,7 +31,7 @@
 	if held == nil {
 		return nil
 	}
-	first, newest := held.Ends[0], held.Ends[len(held.Ends)-1]
+	first, newest := held.Crashes[0], held.Crashes[len(held.Crashes)-1]
 	w.d.log.Info("request kept from engines", "request", w.req.ID, "fingerprint", held.Fingerprint.String(), "team", held.Team, "route", held.Route, "engines", held.Engines(),
 		"since_ms", now.Sub(first.At).Milliseconds(), "newest_ms", now.Sub(newest.At).Milliseconds(), "trial_in_ms", held.TrialAt.Sub(now).Milliseconds())
 	return &Refusal{Reason: w.orMayHaveRun(CrashesEngines)}
@@ -43,7 +43,7 @@
 func (w *walk) noteEnd(ctx context.Context, now time.Time, cause error) {
 	ended := w.engineEnded(ctx, now, cause)
 	if ended && w.d.quarantine != nil {
-		w.d.quarantine.Ended(clock.Now(), w.fingerprint, quarantine.Subject{Team: w.teamName(), Route: w.route.Name}, w.choice.Engine.ID)
+		w.d.quarantine.RecordCrash(clock.Now(), w.fingerprint, quarantine.Subject{Team: w.teamName(), Route: w.route.Name}, w.choice.Engine.ID)
 	}
 	if !ended && !w.headed && ctx.Err() == nil {
 		w.d.observer.Began(now, w.teamName())
@@ -54,13 +54,13 @@
 // come before it ran it.
 func (w *walk) noteAnswer(now time.Time) {
 	if w.d.quarantine != nil && w.status < http.StatusInternalServerError {
-		w.d.quarantine.Answered(now, w.fingerprint, w.teamName())
+		w.d.quarantine.RecordAnswer(now, w.fingerprint, w.teamName())
 	}
 }
 
 // fingerprintOf returns what tells a request of a team from another.
 func fingerprintOf(r *Request, team string) quarantine.Fingerprint {
-	return quarantine.FingerprintOf(quarantine.Work{Team: team, Method: r.Method, Host: r.Host, Target: r.Target, Model: r.Asked, Body: r.Body})
+	return quarantine.FingerprintOf(quarantine.FingerprintInput{Team: team, Method: r.Method, Host: r.Host, Target: r.Target, Model: r.Asked, Body: r.Body})
 }
 
 // engineEnded finds out, where an engine broke off, whether it has ended while the request was at
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -240,7 +240,7 @@
 	})
 	e.start(func() {
 		e.awaitAnswer(ctx)
-		quarantine.NewKeeper(e.quarantine, e.store, s.FirstStart, e.log).Run(ctx)
+		quarantine.NewPersister(e.quarantine, e.store, s.FirstStart, e.log).Run(ctx)
 	})
 	if e.duties != nil {
 		e.start(func() {
--- a/internal/edge/held.go
+++ b/internal/edge/held.go
@@ -73,10 +73,10 @@
 func (e *Edge) heldRows(now time.Time) []wire.Row {
 	var rows []wire.Row
 	for _, h := range e.quarantine.List() {
-		newest := h.Ends[len(h.Ends)-1].At
+		newest := h.Crashes[len(h.Crashes)-1].At
 		rows = append(rows, wire.Row{
 			Name: h.Fingerprint.String(), State: "held", Team: h.Team, Engine: strings.Join(h.Engines(), " "),
-			Reason: fmt.Sprintf("%d engines ended under it, on route %s; tried again in %v", len(h.Ends), h.Route, max(0, h.TrialAt.Sub(now)).Round(time.Second)),
+			Reason: fmt.Sprintf("%d engines ended under it, on route %s; tried again in %v", len(h.Crashes), h.Route, max(0, h.TrialAt.Sub(now)).Round(time.Second)),
 			AtMs:   int(clock.Wall(newest).UnixMilli()), AgeMs: int(now.Sub(newest).Milliseconds()),
 		})
 	}
--- a/internal/gossip/cadence_test.go
+++ b/internal/gossip/cadence_test.go
@@ -164,7 +164,7 @@
 		for _, p := range g.peers {
 			p.heard = now
 		}
-		node.said = Said{Crashing: []quarantine.Told{{Fingerprint: 1, Age: now.Sub(start)}, {Fingerprint: 2, Age: time.Hour}}}
+		node.said = Said{Crashing: []quarantine.GossipEntry{{Fingerprint: 1, Age: now.Sub(start)}, {Fingerprint: 2, Age: time.Hour}}}
 		if turn*int(every) > int(NewsLife) {
 			node.said.Crashing = node.said.Crashing[1:]
 		}
--- a/internal/gossip/send.go
+++ b/internal/gossip/send.go
@@ -63,7 +63,7 @@
 		of := content{turns: to.turns, all: to.sent%(allTurns/to.turns) == 0, chosen: to.chosen}
 		if encoded[of] == nil {
 			s := g.saidTo(said, turn, to.turns)
-			s.Crashing = told(of, said.Crashing, func(t quarantine.Told) time.Duration { return t.Age })
+			s.Crashing = told(of, said.Crashing, func(t quarantine.GossipEntry) time.Duration { return t.Age })
 			s.Limits = told(of, said.Limits, func(t limit.Told) time.Duration { return t.Age })
 			s.Leaving = told(of, said.Leaving, func(t discovery.Told) time.Duration { return t.Age })
 			if of.chosen {
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -13,9 +13,9 @@
 	// it: it is 64 bits of a cryptographic hash.
 	Fingerprint uint64
 
-	// Work is what makes two requests the same: who asks whom for what. An id, a deadline or another
+	// FingerprintInput is what makes two requests the same: who asks whom for what. An id, a deadline or another
 	// key of the same team does not make another request of it.
-	Work struct {
+	FingerprintInput struct {
 		Team   string // Team is empty where the route needs no key.
 		Method string
 		Host   string
@@ -27,7 +27,7 @@
 
 // FingerprintOf returns the fingerprint of a request. A body of 1 KB takes 1.1 µs and one of 1 MB
 // 0.74 ms (BenchmarkFingerprintOf).
-func FingerprintOf(w Work) Fingerprint {
+func FingerprintOf(w FingerprintInput) Fingerprint {
 	h := sha256.New()
 	var length [8]byte
 	for _, part := range []string{w.Team, w.Method, w.Host, w.Target, w.Model} {
--- a/internal/quarantine/fingerprint_test.go
+++ b/internal/quarantine/fingerprint_test.go
@@ -7,26 +7,26 @@
 	"github.com/croftturn/croftturn/internal/quarantine"
 )
 
-// TestWhatMakesTwoRequestsTheSame holds that every part of the work tells two requests apart, also
+// TestFingerprintCoversEveryField holds that every part of the work tells two requests apart, also
 // where the parts together have the same bytes.
-func TestWhatMakesTwoRequestsTheSame(t *testing.T) {
-	work := quarantine.Work{Team: "t", Method: "POST", Host: "h", Target: "/a?b", Model: "m", Body: []byte("x")}
+func TestFingerprintCoversEveryField(t *testing.T) {
+	work := quarantine.FingerprintInput{Team: "t", Method: "POST", Host: "h", Target: "/a?b", Model: "m", Body: []byte("x")}
 	one := quarantine.FingerprintOf(work)
 	if same := work; quarantine.FingerprintOf(same) != one {
 		t.Error("the same work has another fingerprint")
 	}
-	for name, change := range map[string]func(w *quarantine.Work){
-		"team":             func(w *quarantine.Work) { w.Team = "u" },
-		"method":           func(w *quarantine.Work) { w.Method = "PUT" },
-		"host":             func(w *quarantine.Work) { w.Host = "g" },
-		"path":             func(w *quarantine.Work) { w.Target = "/b?b" },
-		"query":            func(w *quarantine.Work) { w.Target = "/a?c" },
-		"model":            func(w *quarantine.Work) { w.Model = "n" },
-		"body":             func(w *quarantine.Work) { w.Body = []byte("y") },
-		"model moved":      func(w *quarantine.Work) { w.Model, w.Body = "", []byte("mx") },
-		"team and method":  func(w *quarantine.Work) { w.Team, w.Method = "tP", "OST" },
-		"a longer body":    func(w *quarantine.Work) { w.Body = []byte("xx") },
-		"nothing but body": func(w *quarantine.Work) { *w = quarantine.Work{Body: []byte("x")} },
+	for name, change := range map[string]func(w *quarantine.FingerprintInput){
+		"team":             func(w *quarantine.FingerprintInput) { w.Team = "u" },
+		"method":           func(w *quarantine.FingerprintInput) { w.Method = "PUT" },
+		"host":             func(w *quarantine.FingerprintInput) { w.Host = "g" },
+		"path":             func(w *quarantine.FingerprintInput) { w.Target = "/b?b" },
+		"query":            func(w *quarantine.FingerprintInput) { w.Target = "/a?c" },
+		"model":            func(w *quarantine.FingerprintInput) { w.Model = "n" },
+		"body":             func(w *quarantine.FingerprintInput) { w.Body = []byte("y") },
+		"model moved":      func(w *quarantine.FingerprintInput) { w.Model, w.Body = "", []byte("mx") },
+		"team and method":  func(w *quarantine.FingerprintInput) { w.Team, w.Method = "tP", "OST" },
+		"a longer body":    func(w *quarantine.FingerprintInput) { w.Body = []byte("xx") },
+		"nothing but body": func(w *quarantine.FingerprintInput) { *w = quarantine.FingerprintInput{Body: []byte("x")} },
 	} {
 		other := work
 		change(&other)
@@ -40,7 +40,7 @@
 func BenchmarkFingerprintOf(b *testing.B) {
 	for _, size := range []int{0, 1 << 10, 1 << 20} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			work := quarantine.Work{Team: "team", Method: "POST", Host: "host.example", Target: "/route/x", Model: "m", Body: make([]byte, size)}
+			work := quarantine.FingerprintInput{Team: "team", Method: "POST", Host: "host.example", Target: "/route/x", Model: "m", Body: make([]byte, size)}
 			b.ReportAllocs()
 			for b.Loop() {
 				quarantine.FingerprintOf(work)
--- a/internal/quarantine/keeper.go
+++ b/internal/quarantine/keeper.go
@@ -20,15 +20,15 @@
 	// freed, and a read at the start of a node.
 	table = "croftturn-held"
 
-	// rowLife is how long a row counts, by the time of day: engines have other versions some day.
-	rowLife = 24 * time.Hour
+	// rowTTL is how long a row counts, by the time of day: engines have other versions some day.
+	rowTTL = 24 * time.Hour
 
-	// mostWritten is how many rows are written at once; the store takes 100.
-	mostWritten = 50
+	// maxWriteBatch is how many rows are written at once; the store takes 100.
+	maxWriteBatch = 50
 )
 
-// errNotHeld says that a row is none that a node wrote.
-var errNotHeld = errors.New("a fingerprint, its engines or its time is missing")
+// errInvalidRow says that a row is none that a node wrote.
+var errInvalidRow = errors.New("a fingerprint, its engines or its time is missing")
 
 type (
 	// Store is what a keeper needs of the platform.
@@ -37,11 +37,11 @@
 		Write(ctx context.Context, tx feed.Tx) error
 	}
 
-	// Keeper keeps what is held in the platform's store, so that it outlives all nodes.
-	Keeper struct {
+	// Persister keeps what is held in the platform's store, so that it outlives all nodes.
+	Persister struct {
 		q     *Quarantine
 		store Store
-		read  bool // read says that what was held before is known, or that nothing was.
+		loaded  bool // read says that what was held before is known, or that nothing was.
 		log   *slog.Logger
 	}
 
@@ -54,58 +54,58 @@
 	}
 )
 
-// NewKeeper returns a keeper. At the first start of the whole system nothing was held before.
-func NewKeeper(q *Quarantine, store Store, first bool, log *slog.Logger) *Keeper {
-	return &Keeper{q: q, store: store, read: first, log: log}
+// NewPersister returns a keeper. At the first start of the whole system nothing was held before.
+func NewPersister(q *Quarantine, store Store, firstStart bool, log *slog.Logger) *Persister {
+	return &Persister{q: q, store: store, loaded: firstStart, log: log}
 }
 
 // Run reads what was held before this node started, and writes what it learns itself to be held, until the
 // context ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Persister) Run(ctx context.Context) {
 	var backoff pause.Backoff
 	for ctx.Err() == nil {
-		if err := k.step(ctx); err != nil {
-			k.log.Warn("held requests not read or written", "read", k.read, "error", err.Error())
+		if err := k.sync(ctx); err != nil {
+			k.log.Warn("held requests not read or written", "read", k.loaded, "error", err.Error())
 			backoff.Wait(ctx)
 			continue
 		}
 		backoff.Reset()
 		select {
 		case <-ctx.Done():
-		case <-k.q.due:
+		case <-k.q.wake:
 		}
 	}
 }
 
-// step reads once, and writes all that is not kept yet.
-func (k *Keeper) step(ctx context.Context) error {
-	if !k.read {
-		if err := k.take(ctx); err != nil {
+// sync reads once, and writes all that is not kept yet.
+func (k *Persister) sync(ctx context.Context) error {
+	if !k.loaded {
+		if err := k.load(ctx); err != nil {
 			return err
 		}
-		k.read = true
+		k.loaded = true
 	}
 	for {
-		tx, prints := k.q.pending(clock.Now())
+		tx, prints := k.q.takePending(clock.Now())
 		if len(prints) == 0 {
 			return nil
 		}
 		if err := k.store.Write(ctx, tx); err != nil {
-			k.q.again(prints)
+			k.q.requeue(prints)
 			return fmt.Errorf("write held requests: %w", err)
 		}
 	}
 }
 
-// take reads what was held before.
-func (k *Keeper) take(ctx context.Context) error {
+// load reads what was held before.
+func (k *Persister) load(ctx context.Context) error {
 	snap, err := k.store.List(ctx, table, "")
 	if err != nil {
 		return fmt.Errorf("read held requests: %w", err)
 	}
 	now := clock.Now()
 	for _, r := range snap.Rows {
-		f, held, err := decode(r)
+		f, held, err := decodeRow(r)
 		if err != nil {
 			k.log.Error("held request not understood", "key", r.Key, "error", err.Error())
 			continue
@@ -116,15 +116,15 @@
 	return nil
 }
 
-// decode returns the request of a row. An error says that no node wrote it.
-func decode(r feed.Row) (Fingerprint, row, error) {
+// decodeRow returns the request of a row. An error says that no node wrote it.
+func decodeRow(r feed.Row) (Fingerprint, row, error) {
 	var held row
 	if err := json.Unmarshal(r.Value, &held); err != nil {
 		return 0, row{}, fmt.Errorf("decode held request: %w", err)
 	}
 	f, err := strconv.ParseUint(r.Key, 16, 64)
-	if err != nil || len(held.Engines) < mostEnds || held.HeldUnix <= 0 {
-		return 0, row{}, errNotHeld
+	if err != nil || len(held.Engines) < crashThreshold || held.HeldUnix <= 0 {
+		return 0, row{}, errInvalidRow
 	}
 	return Fingerprint(f), held, nil
 }
@@ -134,43 +134,43 @@
 func (q *Quarantine) restore(now time.Time, f Fingerprint, held row) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if clock.Wall(now).Sub(time.Unix(held.HeldUnix, 0)) > rowLife {
-		q.keep(f)
+	if clock.Wall(now).Sub(time.Unix(held.HeldUnix, 0)) > rowTTL {
+		q.markUnsaved(f)
 		return
 	}
 	s := Subject{Team: held.Team, Route: held.Route}
 	for i, engine := range held.Engines {
-		q.end(now, f, s, End{Engine: engine, At: now.Add(time.Duration(i-len(held.Engines)) * time.Millisecond)})
+		q.addCrash(now, f, s, Crash{Engine: engine, At: now.Add(time.Duration(i-len(held.Engines)) * time.Millisecond)})
 	}
 }
 
-// keep says that what is kept of a request may differ from what is known. The caller holds the lock.
-func (q *Quarantine) keep(f Fingerprint) {
-	q.unkept[f] = true
+// markUnsaved says that what is kept of a request may differ from what is known. The caller holds the lock.
+func (q *Quarantine) markUnsaved(f Fingerprint) {
+	q.unsaved[f] = true
 	select {
-	case q.due <- struct{}{}:
+	case q.wake <- struct{}{}:
 	default: // The keeper was told already.
 	}
 }
 
-// pending takes the changes of rows that are due, and returns of which requests they are.
-func (q *Quarantine) pending(now time.Time) (feed.Tx, []Fingerprint) {
+// takePending takes the changes of rows that are due, and returns of which requests they are.
+func (q *Quarantine) takePending(now time.Time) (feed.Tx, []Fingerprint) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	var tx feed.Tx
 	var prints []Fingerprint
-	for f := range q.unkept {
-		if len(prints) == mostWritten {
+	for f := range q.unsaved {
+		if len(prints) == maxWriteBatch {
 			break
 		}
 		prints = append(prints, f)
-		delete(q.unkept, f)
+		delete(q.unsaved, f)
 		r := q.records[f]
 		if r == nil || !r.isHeld() {
 			tx.Delete = append(tx.Delete, feed.Row{Table: table, Key: f.String()})
 			continue
 		}
-		value, err := json.Marshal(row{Team: r.Team, Route: r.Route, Engines: engines(r.ends), HeldUnix: clock.Wall(now).Unix()})
+		value, err := json.Marshal(row{Team: r.Team, Route: r.Route, Engines: engineIDs(r.crashes), HeldUnix: clock.Wall(now).Unix()})
 		if err != nil {
 			q.log.Error("held request not encoded", "fingerprint", f.String(), "error", err.Error())
 			continue
@@ -180,11 +180,11 @@
 	return tx, prints
 }
 
-// again says that changes are still due which were not written.
-func (q *Quarantine) again(prints []Fingerprint) {
+// requeue says that changes are still due which were not written.
+func (q *Quarantine) requeue(prints []Fingerprint) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, f := range prints {
-		q.unkept[f] = true
+		q.unsaved[f] = true
 	}
 }
--- a/internal/quarantine/keeper_test.go
+++ b/internal/quarantine/keeper_test.go
@@ -14,78 +14,78 @@
 
 // store keeps rows and refuses the first calls; each transaction that it takes is told.
 type store struct {
-	refuse int
+	failures int
 	rows   []feed.Row
-	taken  chan feed.Tx
+	written  chan feed.Tx
 }
 
-var errAway = errors.New("store away")
+var errUnavailable = errors.New("store away")
 
-func (s *store) away() error {
-	if s.refuse--; s.refuse >= 0 {
-		return errAway
+func (s *store) unavailable() error {
+	if s.failures--; s.failures >= 0 {
+		return errUnavailable
 	}
 	return nil
 }
 
 func (s *store) List(context.Context, string, string) (feed.Snapshot, error) {
-	return feed.Snapshot{Rows: s.rows}, s.away()
+	return feed.Snapshot{Rows: s.rows}, s.unavailable()
 }
 
 func (s *store) Write(_ context.Context, tx feed.Tx) error {
-	if err := s.away(); err != nil {
+	if err := s.unavailable(); err != nil {
 		return err
 	}
-	s.taken <- tx
+	s.written <- tx
 	return nil
 }
 
-// runKeeper runs a keeper for the rest of the test.
-func runKeeper(t *testing.T, q *quarantine.Quarantine, s *store) {
+// runPersister runs a keeper for the rest of the test.
+func runPersister(t *testing.T, q *quarantine.Quarantine, s *store) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		quarantine.NewKeeper(q, s, false, slog.New(slog.DiscardHandler)).Run(ctx)
+		quarantine.NewPersister(q, s, false, slog.New(slog.DiscardHandler)).Run(ctx)
 	}()
 	t.Cleanup(func() { cancel(); <-done })
 }
 
-// TestHeldRequestsAreKept holds that what a node has seen to be held is written though the store is away at first,
+// TestHeldRequestsArePersisted holds that what a node has seen to be held is written though the store is away at first,
 // and dropped when it is answered whole; that another node takes it from there; and that rows which no node wrote, or which
 // are too old, hold nothing.
-func TestHeldRequestsAreKept(t *testing.T) {
+func TestHeldRequestsArePersisted(t *testing.T) {
 	now := time.Now()
-	q, s := newQuarantine(never), &store{refuse: 2, taken: make(chan feed.Tx, 9)}
+	q, s := newQuarantine(never), &store{failures: 2, written: make(chan feed.Tx, 9)}
 	for i := range 3 {
-		q.Ended(now, print, subject, fmt.Sprint("e", i))
+		q.RecordCrash(now, fingerprint, subject, fmt.Sprint("e", i))
 	}
-	runKeeper(t, q, s)
-	put := (<-s.taken).Put
-	if len(put) != 1 || put[0].Key != print.String() {
+	runPersister(t, q, s)
+	put := (<-s.written).Put
+	if len(put) != 1 || put[0].Key != fingerprint.String() {
 		t.Fatalf("written: %+v", put)
 	}
-	again := newQuarantine(never)
-	runKeeper(t, again, &store{taken: make(chan feed.Tx, 9), rows: []feed.Row{
+	restarted := newQuarantine(never)
+	runPersister(t, restarted, &store{written: make(chan feed.Tx, 9), rows: []feed.Row{
 		put[0], {Key: "x", Value: put[0].Value}, {Key: "8", Value: []byte("\xff")}, {Key: "9", Value: []byte(`{"engines":["a"],"held_unix":5}`)},
 	}})
-	for end := time.Now().Add(5 * time.Second); again.Len() != 1; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(5 * time.Second); restarted.Len() != 1; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d held after the start, want 1", again.Len())
+			t.Fatalf("%d held after the start, want 1", restarted.Len())
 		}
 	}
-	if held, _ := again.Admit(time.Now(), print); held == nil || len(held.Ends) != 3 || held.Subject != subject {
+	if held, _ := restarted.Admit(time.Now(), fingerprint); held == nil || len(held.Crashes) != 3 || held.Subject != subject {
 		t.Errorf("held after the start: %+v", held)
 	}
-	q.Answered(time.Now(), print, subject.Team)
-	if tx := <-s.taken; len(tx.Delete) != 1 || tx.Delete[0].Key != print.String() || len(tx.Put) != 0 {
+	q.RecordAnswer(time.Now(), fingerprint, subject.Team)
+	if tx := <-s.written; len(tx.Delete) != 1 || tx.Delete[0].Key != fingerprint.String() || len(tx.Put) != 0 {
 		t.Errorf("written after an answer: %+v", tx)
 	}
-	old := &store{taken: make(chan feed.Tx, 9), rows: []feed.Row{{Key: print.String(), Value: []byte(`{"engines":["a","b","c"],"held_unix":5}`)}}}
-	third := newQuarantine(never)
-	runKeeper(t, third, old)
-	if tx := <-old.taken; len(tx.Delete) != 1 || third.Len() != 0 {
-		t.Errorf("of a row of long ago: %+v, %d held", tx, third.Len())
+	old := &store{written: make(chan feed.Tx, 9), rows: []feed.Row{{Key: fingerprint.String(), Value: []byte(`{"engines":["a","b","c"],"held_unix":5}`)}}}
+	expired := newQuarantine(never)
+	runPersister(t, expired, old)
+	if tx := <-old.written; len(tx.Delete) != 1 || expired.Len() != 0 {
+		t.Errorf("of a row of long ago: %+v, %d held", tx, expired.Len())
 	}
 }
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -9,7 +9,7 @@
 	"github.com/croftturn/croftturn/internal/quarantine"
 )
 
-const print = quarantine.Fingerprint(7)
+const fingerprint = quarantine.Fingerprint(7)
 
 var (
 	start   = time.Unix(1000, 0)
@@ -20,8 +20,8 @@
 func never(time.Time, quarantine.Fingerprint) bool { return false }
 
 // newQuarantine returns an empty quarantine.
-func newQuarantine(tries func(time.Time, quarantine.Fingerprint) bool) *quarantine.Quarantine {
-	return quarantine.New(tries, slog.New(slog.DiscardHandler))
+func newQuarantine(maySendTrial func(time.Time, quarantine.Fingerprint) bool) *quarantine.Quarantine {
+	return quarantine.New(maySendTrial, slog.New(slog.DiscardHandler))
 }
 
 // at returns a moment by its milliseconds.
@@ -33,36 +33,36 @@
 	return held != nil
 }
 
-// TestHeldAfterThreeEnds holds how many engines have to end under a request, and that one end which is learned
+// TestHeldAfterThreeCrashes holds how many engines have to end under a request, and that one end which is learned
 // twice counts once.
-func TestHeldAfterThreeEnds(t *testing.T) {
+func TestHeldAfterThreeCrashes(t *testing.T) {
 	q := newQuarantine(never)
 	for i, end := range []struct {
 		ms     int
 		engine string
 		held   bool
 	}{{0, "e1", false}, {50, "e1", false}, {400, "e2", false}, {450, "e1", false}, {900, "e3", true}} {
-		q.Ended(at(end.ms), print, subject, end.engine)
-		if got := isHeld(q, at(end.ms), print); got != end.held {
+		q.RecordCrash(at(end.ms), fingerprint, subject, end.engine)
+		if got := isHeld(q, at(end.ms), fingerprint); got != end.held {
 			t.Errorf("after end %d: held %v, want %v", i, got, end.held)
 		}
 	}
-	if isHeld(q, at(900), print+1) {
+	if isHeld(q, at(900), fingerprint+1) {
 		t.Error("another request is held")
 	}
-	held, _ := q.Admit(at(1000), print)
+	held, _ := q.Admit(at(1000), fingerprint)
 	if got := fmt.Sprint(held.Engines()); got != "[e1 e2 e3]" || held.Subject != subject || q.Len() != 1 || len(q.List()) != 1 {
 		t.Errorf("held for %v by %+v, %d in all", got, held.Subject, q.Len())
 	}
 }
 
-// TestAnEngineThatEndsAgainCountsAgain holds that a pool of one engine is protected, too.
-func TestAnEngineThatEndsAgainCountsAgain(t *testing.T) {
+// TestRepeatedCrashOfOneEngineCounts holds that a pool of one engine is protected, too.
+func TestRepeatedCrashOfOneEngineCounts(t *testing.T) {
 	q := newQuarantine(never)
 	for i := range 3 {
-		q.Ended(at(5000*i), print, subject, "e1")
+		q.RecordCrash(at(5000*i), fingerprint, subject, "e1")
 	}
-	if !isHeld(q, at(10_000), print) {
+	if !isHeld(q, at(10_000), fingerprint) {
 		t.Error("a request under which one engine has ended three times is not held")
 	}
 }
@@ -74,71 +74,71 @@
 	for ms := 0; ms < 30_000; ms += 10 {
 		if ms%5000 == 4990 {
 			for i := range 4 {
-				q.Ended(at(ms+i), print, subject, fmt.Sprint("e", i))
+				q.RecordCrash(at(ms+i), fingerprint, subject, fmt.Sprint("e", i))
 			}
 		}
-		if isHeld(q, at(ms), print) {
+		if isHeld(q, at(ms), fingerprint) {
 			t.Fatalf("held after %d ms", ms)
 		}
-		q.Answered(at(ms), print, subject.Team)
+		q.RecordAnswer(at(ms), fingerprint, subject.Team)
 	}
 	q = newQuarantine(never)
 	for i := range 3 {
-		q.Ended(at(i), print, subject, fmt.Sprint("e", i))
+		q.RecordCrash(at(i), fingerprint, subject, fmt.Sprint("e", i))
 	}
-	if !isHeld(q, at(10), print) {
+	if !isHeld(q, at(10), fingerprint) {
 		t.Fatal("not held without an answer")
 	}
-	q.Answered(at(20), print, subject.Team)
-	if isHeld(q, at(30), print) || q.Len() != 0 {
+	q.RecordAnswer(at(20), fingerprint, subject.Team)
+	if isHeld(q, at(30), fingerprint) || q.Len() != 0 {
 		t.Error("held though an engine has answered it whole")
 	}
 }
 
-// TestAnswersOfOthersAreRememberedByTeam holds that a team which sends only different requests does not push
+// TestRecentAnswersAreKeptPerTeam holds that a team which sends only different requests does not push
 // out what is known of another one's.
-func TestAnswersOfOthersAreRememberedByTeam(t *testing.T) {
+func TestRecentAnswersAreKeptPerTeam(t *testing.T) {
 	q := newQuarantine(never)
-	q.Answered(at(0), print, subject.Team)
+	q.RecordAnswer(at(0), fingerprint, subject.Team)
 	for i := range 10_000 {
-		q.Answered(at(1), print+1+quarantine.Fingerprint(i), "other")
+		q.RecordAnswer(at(1), fingerprint+1+quarantine.Fingerprint(i), "other")
 	}
 	for i := range 3 {
-		q.Ended(at(100), print, subject, fmt.Sprint("e", i))
+		q.RecordCrash(at(100), fingerprint, subject, fmt.Sprint("e", i))
 	}
-	if isHeld(q, at(110), print) {
+	if isHeld(q, at(110), fingerprint) {
 		t.Error("held, though it was answered 100 ms before")
 	}
 }
 
-// TestARecordIsPushedOutByItsOwnTeam holds that what is remembered is bounded, and that a team with many records
+// TestRecordsAreEvictedFromTheLargestTeam holds that what is remembered is bounded, and that a team with many records
 // loses its own.
-func TestARecordIsPushedOutByItsOwnTeam(t *testing.T) {
+func TestRecordsAreEvictedFromTheLargestTeam(t *testing.T) {
 	q := newQuarantine(never)
 	for i := range 3 {
-		q.Ended(at(i), print, subject, fmt.Sprint("e", i))
+		q.RecordCrash(at(i), fingerprint, subject, fmt.Sprint("e", i))
 	}
-	q.Ended(at(5), print+1, subject, "e9")
+	q.RecordCrash(at(5), fingerprint+1, subject, "e9")
 	for i := range 3 * 4096 {
-		q.Ended(at(10+i/100), print+2+quarantine.Fingerprint(i), quarantine.Subject{Team: "other"}, "e1")
+		q.RecordCrash(at(10+i/100), fingerprint+2+quarantine.Fingerprint(i), quarantine.Subject{Team: "other"}, "e1")
 	}
-	if !isHeld(q, at(500), print) {
+	if !isHeld(q, at(500), fingerprint) {
 		t.Error("a request that was held is forgotten")
 	}
-	q.Ended(at(600), print+1, subject, "e10")
-	q.Ended(at(700), print+1, subject, "e11")
-	if !isHeld(q, at(700), print+1) {
+	q.RecordCrash(at(600), fingerprint+1, subject, "e10")
+	q.RecordCrash(at(700), fingerprint+1, subject, "e11")
+	if !isHeld(q, at(700), fingerprint+1) {
 		t.Error("the ends under a request are forgotten for another team's")
 	}
 }
 
-// TestSuspicionIsForgotten holds that ends which lie far apart are not added up.
-func TestSuspicionIsForgotten(t *testing.T) {
+// TestOldCrashesExpire holds that ends which lie far apart are not added up.
+func TestOldCrashesExpire(t *testing.T) {
 	q := newQuarantine(never)
 	for i := range 6 {
 		now := start.Add(time.Duration(i) * 6 * time.Minute)
-		q.Ended(now, print, subject, fmt.Sprint("e", i))
-		if isHeld(q, now, print) {
+		q.RecordCrash(now, fingerprint, subject, fmt.Sprint("e", i))
+		if isHeld(q, now, fingerprint) {
 			t.Fatalf("held after %d ends six minutes apart", i+1)
 		}
 	}
@@ -150,10 +150,10 @@
 	mine := false
 	q := newQuarantine(func(time.Time, quarantine.Fingerprint) bool { return mine })
 	for i := range 3 {
-		q.Ended(at(i), print, subject, fmt.Sprint("e", i))
+		q.RecordCrash(at(i), fingerprint, subject, fmt.Sprint("e", i))
 	}
 	trial := func(now time.Time) bool {
-		held, trial := q.Admit(now, print)
+		held, trial := q.Admit(now, fingerprint)
 		return held == nil && trial
 	}
 	soon, due := start.Add(59*time.Second), start.Add(61*time.Second)
@@ -164,20 +164,20 @@
 	if trial(soon) || !trial(due) || trial(due.Add(time.Second)) {
 		t.Error("want one trial after a minute")
 	}
-	q.Ended(due, print, subject, "e4")
+	q.RecordCrash(due, fingerprint, subject, "e4")
 	if trial(due.Add(119*time.Second)) || !trial(due.Add(121*time.Second)) {
 		t.Error("want the next one two minutes after the end in the first")
 	}
-	q.Answered(due.Add(122*time.Second), print, subject.Team)
-	if held, again := q.Admit(due.Add(123*time.Second), print); held != nil || again {
+	q.RecordAnswer(due.Add(122*time.Second), fingerprint, subject.Team)
+	if held, again := q.Admit(due.Add(123*time.Second), fingerprint); held != nil || again {
 		t.Error("still held after a trial that was answered whole")
 	}
 }
 
-// TestPeersHoldWhatEndsEnginesElsewhere holds that ends at several nodes add up at all of them, each counted once
+// TestCrashesAreSharedBetweenPeers holds that ends at several nodes add up at all of them, each counted once
 // however often it is told, that a whole answer known to one node frees a request at all, and that told ages
 // do not grow what is known.
-func TestPeersHoldWhatEndsEnginesElsewhere(t *testing.T) {
+func TestCrashesAreSharedBetweenPeers(t *testing.T) {
 	const nodes = 4
 	var all [nodes]*quarantine.Quarantine
 	for i := range all {
@@ -187,74 +187,74 @@
 		for i, from := range all {
 			for j, to := range all {
 				if i != j {
-					to.Hear(at(ms+20), from.Tell(at(ms), 400*time.Millisecond))
+					to.MergeGossip(at(ms+20), from.GossipEntries(at(ms), 400*time.Millisecond))
 				}
 			}
 		}
 	}
 	for i := range 3 {
-		all[i].Ended(at(100*i), print, subject, fmt.Sprint("e", i))
-		all[i+1].Ended(at(100*i+30), print, subject, fmt.Sprint("e", i)) // Another copy of it was there.
+		all[i].RecordCrash(at(100*i), fingerprint, subject, fmt.Sprint("e", i))
+		all[i+1].RecordCrash(at(100*i+30), fingerprint, subject, fmt.Sprint("e", i)) // Another copy of it was there.
 		exchange(100*i + 50)
 	}
 	for i, q := range all {
-		if held, _ := q.Admit(at(400), print); held == nil || len(held.Ends) != 3 {
+		if held, _ := q.Admit(at(400), fingerprint); held == nil || len(held.Crashes) != 3 {
 			t.Fatalf("node %d: held %+v", i, held)
 		}
 	}
 	for ms := 400; ms < 20_000; ms += 100 {
 		exchange(ms)
 	}
-	if told := all[0].Tell(at(20_000), 400*time.Millisecond); len(told) != 1 || told[0].Age < 19*time.Second {
+	if told := all[0].GossipEntries(at(20_000), 400*time.Millisecond); len(told) != 1 || told[0].Age < 19*time.Second {
 		t.Errorf("what is known to all is told on as new: %+v", told)
 	}
-	all[3].Answered(at(20_100), print, subject.Team)
+	all[3].RecordAnswer(at(20_100), fingerprint, subject.Team)
 	exchange(20_110)
 	exchange(20_210)
 	for i, q := range all {
-		if isHeld(q, at(20_300), print) {
+		if isHeld(q, at(20_300), fingerprint) {
 			t.Errorf("node %d holds it still", i)
 		}
 	}
 }
 
-// TestANodeThatKnowsBetterObjects holds that a node which has had a whole answer to a request lately tells those that
+// TestPeerWithRecentAnswerCorrectsOthers holds that a node which has had a whole answer to a request lately tells those that
 // count ends against it.
-func TestANodeThatKnowsBetterObjects(t *testing.T) {
+func TestPeerWithRecentAnswerCorrectsOthers(t *testing.T) {
 	one, other := newQuarantine(never), newQuarantine(never)
-	other.Answered(at(0), print, subject.Team)
+	other.RecordAnswer(at(0), fingerprint, subject.Team)
 	for i := range 4 {
-		one.Ended(at(100), print, subject, fmt.Sprint("e", i))
+		one.RecordCrash(at(100), fingerprint, subject, fmt.Sprint("e", i))
 	}
-	if !isHeld(one, at(110), print) {
+	if !isHeld(one, at(110), fingerprint) {
 		t.Fatal("not held at first")
 	}
-	other.Hear(at(120), one.Tell(at(110), time.Second))
-	if isHeld(other, at(130), print) {
+	other.MergeGossip(at(120), one.GossipEntries(at(110), time.Second))
+	if isHeld(other, at(130), fingerprint) {
 		t.Error("held by the node that had an answer")
 	}
-	one.Hear(at(140), other.Tell(at(130), time.Second))
-	if isHeld(one, at(150), print) {
+	one.MergeGossip(at(140), other.GossipEntries(at(130), time.Second))
+	if isHeld(one, at(150), fingerprint) {
 		t.Error("held, though a peer told of a whole answer 100 ms before the ends")
 	}
 }
 
-// TestAnAnswerOfBeforeGrowsNoYounger holds that a whole answer of before the ends frees nothing however often nodes tell each other of
+// TestGossipedAnswerDoesNotGetYounger holds that a whole answer of before the ends frees nothing however often nodes tell each other of
 // it: each message makes it seem a little later.
-func TestAnAnswerOfBeforeGrowsNoYounger(t *testing.T) {
+func TestGossipedAnswerDoesNotGetYounger(t *testing.T) {
 	one, other := newQuarantine(never), newQuarantine(never)
-	one.Ended(at(0), print, subject, "e0")
-	other.Ended(at(0), print, subject, "e0")
-	one.Answered(at(10), print, subject.Team)
-	other.Hear(at(40), one.Tell(at(20), time.Second))
+	one.RecordCrash(at(0), fingerprint, subject, "e0")
+	other.RecordCrash(at(0), fingerprint, subject, "e0")
+	one.RecordAnswer(at(10), fingerprint, subject.Team)
+	other.MergeGossip(at(40), one.GossipEntries(at(20), time.Second))
 	for i := range 3 {
-		one.Ended(at(3000+i), print, subject, fmt.Sprint("e", i))
+		one.RecordCrash(at(3000+i), fingerprint, subject, fmt.Sprint("e", i))
 	}
 	for ms := 3100; ms < 600_000; ms += 1000 {
-		other.Hear(at(ms+30), one.Tell(at(ms), time.Second))
-		one.Hear(at(ms+80), other.Tell(at(ms+50), time.Second))
+		other.MergeGossip(at(ms+30), one.GossipEntries(at(ms), time.Second))
+		one.MergeGossip(at(ms+80), other.GossipEntries(at(ms+50), time.Second))
 	}
-	if held, _ := one.Admit(at(30_000), print); held == nil || !held.Ends[0].At.Equal(at(3000)) || !isHeld(other, at(30_000), print) {
+	if held, _ := one.Admit(at(30_000), fingerprint); held == nil || !held.Crashes[0].At.Equal(at(3000)) || !isHeld(other, at(30_000), fingerprint) {
 		t.Errorf("held for %+v, want the ends as they were seen", held)
 	}
 }
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -9,67 +9,67 @@
 // record is what is known of one request under which an engine has ended.
 type record struct {
 	Subject
-	ends     []End     // ends are those since the newest whole answer, the oldest first.
+	crashes     []Crash     // ends are those since the newest whole answer, the oldest first.
 	answered time.Time // answered is when it was last known to be answered whole.
 	tried    time.Time // tried is when this node last let it be tried.
-	own      bool      // own says that this node has seen an end or an answer itself: those that have keep the request in the platform's store.
+	seenHere      bool      // own says that this node has seen an end or an answer itself: those that have keep the request in the platform's store.
 	changed  time.Time // changed is when something was learned that peers may not know.
 }
 
 // isHeld reports whether so many engines have ended under the request that it gets none.
-func (r *record) isHeld() bool { return len(r.ends) >= mostEnds }
+func (r *record) isHeld() bool { return len(r.crashes) >= crashThreshold }
 
 // held returns what is told of the request, which is held.
 func (r *record) held(f Fingerprint) *Held {
-	return &Held{Subject: r.Subject, Fingerprint: f, Ends: slices.Clone(r.ends), TrialAt: r.trialAt()}
+	return &Held{Subject: r.Subject, Fingerprint: f, Crashes: slices.Clone(r.crashes), TrialAt: r.trialAt()}
 }
 
-// knows reports whether an end is one that is known already.
-func (r *record) knows(e End) bool {
-	return slices.ContainsFunc(r.ends, func(o End) bool { return o.Engine == e.Engine && e.At.Sub(o.At).Abs() <= sameEnd })
+// hasCrash reports whether an end is one that is known already.
+func (r *record) hasCrash(e Crash) bool {
+	return slices.ContainsFunc(r.crashes, func(o Crash) bool { return o.Engine == e.Engine && e.At.Sub(o.At).Abs() <= sameCrashWindow })
 }
 
 // trialAt returns when the request may be tried once more: the later, the more ends there were.
 func (r *record) trialAt() time.Time {
-	newest := r.ends[len(r.ends)-1].At
+	newest := r.crashes[len(r.crashes)-1].At
 	if r.tried.After(newest) {
 		newest = r.tried
 	}
-	return newest.Add(firstTrial << (len(r.ends) - mostEnds))
+	return newest.Add(firstTrialDelay << (len(r.crashes) - crashThreshold))
 }
 
-// engines returns the engines that ended.
-func engines(ends []End) []string {
-	out := make([]string, 0, len(ends))
-	for _, e := range ends {
+// engineIDs returns the engineIDs that ended.
+func engineIDs(crashes []Crash) []string {
+	out := make([]string, 0, len(crashes))
+	for _, e := range crashes {
 		out = append(out, e.Engine)
 	}
 	return out
 }
 
-// add adds a record, in place of a less important one where there is no room. The caller holds
+// addRecord adds a record, in place of a less important one where there is no room. The caller holds
 // the lock.
-func (q *Quarantine) add(now time.Time, f Fingerprint, s Subject) *record {
-	if len(q.records) >= mostRecords {
-		q.forgetSome()
+func (q *Quarantine) addRecord(now time.Time, f Fingerprint, s Subject) *record {
+	if len(q.records) >= maxRecords {
+		q.evictRecords()
 	}
 	r := &record{Subject: s, changed: now}
 	q.records[f] = r
 	return r
 }
 
-// forgetOld drops records that have nothing to tell any more. The caller holds the lock.
-func (q *Quarantine) forgetOld(now time.Time) {
+// expireRecords drops records that have nothing to tell any more. The caller holds the lock.
+func (q *Quarantine) expireRecords(now time.Time) {
 	for f, r := range q.records {
-		if age := now.Sub(r.changed); age > suspectLife && !r.isHeld() || age > clearedLife && len(r.ends) == 0 {
+		if age := now.Sub(r.changed); age > suspectTTL && !r.isHeld() || age > answeredTTL && len(r.crashes) == 0 {
 			delete(q.records, f)
 		}
 	}
 }
 
-// forgetSome drops an eighth of the records of the team that has the most: those with the fewest ends, and among
+// evictRecords drops an eighth of the records of the team that has the most: those with the fewest ends, and among
 // these the oldest. No team's records so push out those of another that has fewer. The caller holds the lock.
-func (q *Quarantine) forgetSome() {
+func (q *Quarantine) evictRecords() {
 	teams := map[string][]Fingerprint{}
 	most := ""
 	for f, r := range q.records {
@@ -90,5 +90,5 @@
 
 // compare orders records by how much they matter, the least first.
 func (r *record) compare(o *record) int {
-	return cmp.Or(cmp.Compare(len(r.ends), len(o.ends)), r.changed.Compare(o.changed))
+	return cmp.Or(cmp.Compare(len(r.crashes), len(o.crashes)), r.changed.Compare(o.changed))
 }
--- a/lab/soak/planted_test.go
+++ b/lab/soak/planted_test.go
@@ -31,7 +31,7 @@
 	{"a rest is forgotten", "of rest", "engine asks for rest", "internal/placement/rest.go", "return r.until", "return time.Time{}"},
 	{"a hall that is evacuated gets new requests", "was evacuated", "hall evacuated", "internal/placement/placement.go", "if !e.Draining && !p.evacuated[e.Hall] {", "if !e.Draining {"},
 	{"a reload ends the process", "ended by itself", "hang up a node", "cmd/croftturn/main.go", "signal.Notify(reload, syscall.SIGHUP)", ""},
-	{"a request that crashes engines is never held", "later than", "a request crashes engines", "internal/quarantine/record.go", "return len(r.ends) >= mostEnds", "return false"},
+	{"a request that crashes engines is never held", "later than", "a request crashes engines", "internal/quarantine/record.go", "return len(r.crashes) >= crashThreshold", "return false"},
 	{"the team is not the key's", "its key is of", "", "platform/egress.go", "h.Set(headerTeam, a.Team)", `h.Set(headerTeam, a.Team+"x")`},
 }
 
