--- a/internal/quarantine/answered.go
+++ b/internal/quarantine/answered.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// maxRecentAnswers is how many of a team's requests are remembered as answered whole, the newest ones:
-// one that is a thirtieth of its team's requests stays among them. A team takes 1.2 KB of the heap.
+// maxRecentAnswers is how many fully answered requests are remembered per team. A request that makes up
+// a thirtieth of its team's requests stays in the list. The list takes 1.2 KB of heap per team.
 const maxRecentAnswers = 32
 
 type (
-	// recentAnswers holds when the newest of a team's requests that were recentAnswers whole were so.
+	// recentAnswers is a ring buffer of a team's most recently answered requests.
 	recentAnswers struct {
 		list [maxRecentAnswers]recentAnswer
-		next int // next is the place of the next request that is not among them.
+		next int // next is the index to overwrite next.
 	}
 
-	// recentAnswer is one request and when it was answered whole.
+	// recentAnswer is a request and the time of its latest complete answer.
 	recentAnswer struct {
 		f  Fingerprint
 		at time.Time
 	}
 )
 
-// add records that a request was answered whole; the one that came the longest ago gives way.
+// add records that a request was answered completely, and overwrites the oldest entry if the request is new.
 func (a *recentAnswers) add(now time.Time, f Fingerprint) {
 	for i := range a.list {
 		if a.list[i].f == f && !a.list[i].at.IsZero() {
@@ -32,7 +32,7 @@
 	a.next = (a.next + 1) % maxRecentAnswers
 }
 
-// answeredAt returns when a request was answered whole, or zero.
+// answeredAt returns when a request was last answered completely, or the zero time.
 func (a *recentAnswers) answeredAt(f Fingerprint) time.Time {
 	for _, each := range a.list {
 		if each.f == f {
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -1,5 +1,5 @@
-// Package quarantine keeps requests from engines under which engines have crashed: which requests
-// are the same, under which of them how many engines ended, and which get no engine any more.
+// Package quarantine withholds requests that crash engines. It identifies equal requests, counts the engines
+// that crashed while running each, and decides which requests are no longer sent to engines.
 package quarantine
 
 import (
@@ -9,35 +9,35 @@
 )
 
 type (
-	// Fingerprint tells whether two requests are the same work. A request is not to be found from
-	// it: it is 64 bits of a cryptographic hash.
+	// Fingerprint identifies equal requests. The request can't be recovered from it: it is 64 bits of a
+	// cryptographic hash.
 	Fingerprint uint64
 
-	// FingerprintInput is what makes two requests the same: who asks whom for what. An id, a deadline or another
-	// key of the same team does not make another request of it.
+	// FingerprintInput is what makes two requests equal. The request id, the deadline and the choice among a
+	// team's API keys are not part of it.
 	FingerprintInput struct {
-		Team   string // Team is empty where the route needs no key.
+		Team   string // Team is empty where the route requires no key.
 		Method string
 		Host   string
 		Target string // Target is the path and query.
-		Model  string // Model is empty where only the body names it.
+		Model  string // Model is empty if only the body names the model.
 		Body   []byte
 	}
 )
 
-// FingerprintOf returns the fingerprint of a request. A body of 1 KB takes 1.1 µs and one of 1 MB
-// 0.74 ms (BenchmarkFingerprintOf).
-func FingerprintOf(w FingerprintInput) Fingerprint {
+// FingerprintOf returns the fingerprint of a request. It takes 1.1 µs for a body of 1 KB and 0.74 ms for
+// one of 1 MB (BenchmarkFingerprintOf).
+func FingerprintOf(in FingerprintInput) Fingerprint {
 	h := sha256.New()
 	var length [8]byte
-	for _, part := range []string{w.Team, w.Method, w.Host, w.Target, w.Model} {
+	for _, part := range []string{in.Team, in.Method, in.Host, in.Target, in.Model} {
 		binary.BigEndian.PutUint64(length[:], uint64(len(part)))
-		h.Write(length[:]) // A hash never fails to take bytes.
+		h.Write(length[:]) // A hash never returns a write error.
 		h.Write([]byte(part))
 	}
-	h.Write(w.Body)
+	h.Write(in.Body)
 	return Fingerprint(binary.BigEndian.Uint64(h.Sum(nil)))
 }
 
-// String returns the fingerprint as log lines show it.
+// String returns the fingerprint in hexadecimal, as in log lines and row keys.
 func (f Fingerprint) String() string { return fmt.Sprintf("%016x", uint64(f)) }
--- a/internal/quarantine/fingerprint_test.go
+++ b/internal/quarantine/fingerprint_test.go
@@ -7,13 +7,13 @@
 	"github.com/croftturn/croftturn/internal/quarantine"
 )
 
-// TestFingerprintCoversEveryField holds that every part of the work tells two requests apart, also
-// where the parts together have the same bytes.
+// TestFingerprintCoversEveryField checks that a change of any field changes the fingerprint, including when
+// the concatenated fields have the same bytes.
 func TestFingerprintCoversEveryField(t *testing.T) {
 	work := quarantine.FingerprintInput{Team: "t", Method: "POST", Host: "h", Target: "/a?b", Model: "m", Body: []byte("x")}
-	one := quarantine.FingerprintOf(work)
-	if same := work; quarantine.FingerprintOf(same) != one {
-		t.Error("the same work has another fingerprint")
+	want := quarantine.FingerprintOf(work)
+	if same := work; quarantine.FingerprintOf(same) != want {
+		t.Error("equal requests have different fingerprints")
 	}
 	for name, change := range map[string]func(w *quarantine.FingerprintInput){
 		"team":             func(w *quarantine.FingerprintInput) { w.Team = "u" },
@@ -30,13 +30,13 @@
 	} {
 		other := work
 		change(&other)
-		if quarantine.FingerprintOf(other) == one {
-			t.Errorf("another %s has the same fingerprint", name)
+		if quarantine.FingerprintOf(other) == want {
+			t.Errorf("change of %s: the fingerprint is the same", name)
 		}
 	}
 }
 
-// BenchmarkFingerprintOf measures what a request costs by its body.
+// BenchmarkFingerprintOf measures fingerprinting by body size.
 func BenchmarkFingerprintOf(b *testing.B) {
 	for _, size := range []int{0, 1 << 10, 1 << 20} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
--- a/internal/quarantine/keeper.go
+++ b/internal/quarantine/keeper.go
@@ -15,91 +15,90 @@
 )
 
 const (
-	// table holds a row for each request that is held, under its fingerprint: three engines were lost to
-	// learn it, and all nodes may be lost at once. It costs a write for each request that is held, one when it is
-	// freed, and a read at the start of a node.
+	// table has one row per held request, keyed by its fingerprint. The information is worth storing because it cost
+	// three engines, and all nodes may be lost at once. It costs one write when a request becomes held, one when it
+	// is released, and one read when a node starts.
 	table = "croftturn-held"
 
-	// rowTTL is how long a row counts, by the time of day: engines have other versions some day.
+	// rowTTL is how long a row is valid, by wall-clock time. Rows expire because engines get new versions eventually.
 	rowTTL = 24 * time.Hour
 
-	// maxWriteBatch is how many rows are written at once; the store takes 100.
+	// maxWriteBatch is how many rows one transaction writes; the store accepts 100.
 	maxWriteBatch = 50
 )
 
-// errInvalidRow says that a row is none that a node wrote.
+// errInvalidRow is returned for a row that no node can have written.
 var errInvalidRow = errors.New("a fingerprint, its engines or its time is missing")
 
 type (
-	// Store is what a keeper needs of the platform.
+	// Store is the part of the platform's store that a Persister uses.
 	Store interface {
 		List(ctx context.Context, table, part string) (feed.Snapshot, error)
 		Write(ctx context.Context, tx feed.Tx) error
 	}
 
-	// Persister keeps what is held in the platform's store, so that it outlives all nodes.
+	// Persister saves held requests in the platform's store, so that they survive the loss of all nodes.
 	Persister struct {
-		q     *Quarantine
-		store Store
-		loaded  bool // read says that what was held before is known, or that nothing was.
-		log   *slog.Logger
+		q      *Quarantine
+		store  Store
+		loaded bool // loaded is set once the stored requests are known, or known to be none.
+		log    *slog.Logger
 	}
 
-	// row is what is kept of a request that is held.
+	// row is the stored form of a held request.
 	row struct {
 		Team     string   `json:"team"`
 		Route    string   `json:"route"`
 		Engines  []string `json:"engines"`
-		HeldUnix int64    `json:"held_unix"` // HeldUnix is when it was written, in seconds of the time of day.
+		HeldUnix int64    `json:"held_unix"` // HeldUnix is when the row was written, in seconds of Unix time.
 	}
 )
 
-// NewPersister returns a keeper. At the first start of the whole system nothing was held before.
+// NewPersister returns a Persister. At the first start of the whole system it has nothing to load.
 func NewPersister(q *Quarantine, store Store, firstStart bool, log *slog.Logger) *Persister {
 	return &Persister{q: q, store: store, loaded: firstStart, log: log}
 }
 
-// Run reads what was held before this node started, and writes what it learns itself to be held, until the
-// context ends.
-func (k *Persister) Run(ctx context.Context) {
+// Run loads the requests that were held before this node started, and saves changes until the context ends.
+func (p *Persister) Run(ctx context.Context) {
 	var backoff pause.Backoff
 	for ctx.Err() == nil {
-		if err := k.sync(ctx); err != nil {
-			k.log.Warn("held requests not read or written", "read", k.loaded, "error", err.Error())
+		if err := p.sync(ctx); err != nil {
+			p.log.Warn("cannot load or save held requests; retrying", "read", p.loaded, "error", err.Error())
 			backoff.Wait(ctx)
 			continue
 		}
 		backoff.Reset()
 		select {
 		case <-ctx.Done():
-		case <-k.q.wake:
+		case <-p.q.wake:
 		}
 	}
 }
 
-// sync reads once, and writes all that is not kept yet.
-func (k *Persister) sync(ctx context.Context) error {
-	if !k.loaded {
-		if err := k.load(ctx); err != nil {
+// sync loads the stored requests if that is still to be done, and writes all unsaved changes.
+func (p *Persister) sync(ctx context.Context) error {
+	if !p.loaded {
+		if err := p.load(ctx); err != nil {
 			return err
 		}
-		k.loaded = true
+		p.loaded = true
 	}
 	for {
-		tx, prints := k.q.takePending(clock.Now())
-		if len(prints) == 0 {
+		tx, fingerprints := p.q.takePending(clock.Now())
+		if len(fingerprints) == 0 {
 			return nil
 		}
-		if err := k.store.Write(ctx, tx); err != nil {
-			k.q.requeue(prints)
+		if err := p.store.Write(ctx, tx); err != nil {
+			p.q.requeue(fingerprints)
 			return fmt.Errorf("write held requests: %w", err)
 		}
 	}
 }
 
-// load reads what was held before.
-func (k *Persister) load(ctx context.Context) error {
-	snap, err := k.store.List(ctx, table, "")
+// load restores the stored requests.
+func (p *Persister) load(ctx context.Context) error {
+	snap, err := p.store.List(ctx, table, "")
 	if err != nil {
 		return fmt.Errorf("read held requests: %w", err)
 	}
@@ -107,16 +106,16 @@
 	for _, r := range snap.Rows {
 		f, held, err := decodeRow(r)
 		if err != nil {
-			k.log.Error("held request not understood", "key", r.Key, "error", err.Error())
+			p.log.Error("invalid row of a held request; ignored", "key", r.Key, "error", err.Error())
 			continue
 		}
-		k.q.restore(now, f, held)
+		p.q.restore(now, f, held)
 	}
-	k.log.Info("held requests read", "rows", len(snap.Rows), "held", k.q.Len())
+	p.log.Info("held requests loaded", "rows", len(snap.Rows), "held", p.q.Len())
 	return nil
 }
 
-// decodeRow returns the request of a row. An error says that no node wrote it.
+// decodeRow decodes a row. It returns an error for a row that no node can have written.
 func decodeRow(r feed.Row) (Fingerprint, row, error) {
 	var held row
 	if err := json.Unmarshal(r.Value, &held); err != nil {
@@ -129,8 +128,8 @@
 	return Fingerprint(f), held, nil
 }
 
-// restore takes a request that was held before this node started. When its engines ended is not known
-// on this node's clock, so that its next trial counts from now on. One that has stood for too long is freed.
+// restore adds a request that was held before this node started. The times of its crashes are not known on
+// this node's clock, so the delay to its next trial starts now. A row older than rowTTL is deleted.
 func (q *Quarantine) restore(now time.Time, f Fingerprint, held row) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -144,26 +143,27 @@
 	}
 }
 
-// markUnsaved says that what is kept of a request may differ from what is known. The caller holds the lock.
+// markUnsaved marks a request whose row may be out of date. The caller holds the lock.
 func (q *Quarantine) markUnsaved(f Fingerprint) {
 	q.unsaved[f] = true
 	select {
 	case q.wake <- struct{}{}:
-	default: // The keeper was told already.
+	default: // The Persister has been woken already.
 	}
 }
 
-// takePending takes the changes of rows that are due, and returns of which requests they are.
+// takePending returns a transaction with the next unsaved changes and the requests that they belong to, and
+// marks those as saved.
 func (q *Quarantine) takePending(now time.Time) (feed.Tx, []Fingerprint) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	var tx feed.Tx
-	var prints []Fingerprint
+	var fingerprints []Fingerprint
 	for f := range q.unsaved {
-		if len(prints) == maxWriteBatch {
+		if len(fingerprints) == maxWriteBatch {
 			break
 		}
-		prints = append(prints, f)
+		fingerprints = append(fingerprints, f)
 		delete(q.unsaved, f)
 		r := q.records[f]
 		if r == nil || !r.isHeld() {
@@ -172,19 +172,19 @@
 		}
 		value, err := json.Marshal(row{Team: r.Team, Route: r.Route, Engines: engineIDs(r.crashes), HeldUnix: clock.Wall(now).Unix()})
 		if err != nil {
-			q.log.Error("held request not encoded", "fingerprint", f.String(), "error", err.Error())
+			q.log.Error("cannot encode held request", "fingerprint", f.String(), "error", err.Error())
 			continue
 		}
 		tx.Put = append(tx.Put, feed.Row{Table: table, Key: f.String(), Value: value})
 	}
-	return tx, prints
+	return tx, fingerprints
 }
 
-// requeue says that changes are still due which were not written.
-func (q *Quarantine) requeue(prints []Fingerprint) {
+// requeue marks requests as unsaved again after a failed write.
+func (q *Quarantine) requeue(fingerprints []Fingerprint) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for _, f := range prints {
+	for _, f := range fingerprints {
 		q.unsaved[f] = true
 	}
 }
--- a/internal/quarantine/keeper_test.go
+++ b/internal/quarantine/keeper_test.go
@@ -12,14 +12,14 @@
 	"github.com/croftturn/croftturn/internal/quarantine"
 )
 
-// store keeps rows and refuses the first calls; each transaction that it takes is told.
+// store returns fixed rows, fails the first calls and reports each transaction that it accepts.
 type store struct {
 	failures int
-	rows   []feed.Row
+	rows     []feed.Row
 	written  chan feed.Tx
 }
 
-var errUnavailable = errors.New("store away")
+var errUnavailable = errors.New("store unavailable")
 
 func (s *store) unavailable() error {
 	if s.failures--; s.failures >= 0 {
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// runPersister runs a keeper for the rest of the test.
+// runPersister runs a Persister until the test ends.
 func runPersister(t *testing.T, q *quarantine.Quarantine, s *store) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -52,9 +52,9 @@
 	t.Cleanup(func() { cancel(); <-done })
 }
 
-// TestHeldRequestsArePersisted holds that what a node has seen to be held is written though the store is away at first,
-// and dropped when it is answered whole; that another node takes it from there; and that rows which no node wrote, or which
-// are too old, hold nothing.
+// TestHeldRequestsArePersisted checks that a request held by this node is written although the store is unavailable at
+// first, that its row is deleted once the request is answered, and that another node restores it. Rows that are
+// invalid or expired must hold nothing.
 func TestHeldRequestsArePersisted(t *testing.T) {
 	now := time.Now()
 	q, s := newQuarantine(never), &store{failures: 2, written: make(chan feed.Tx, 9)}
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -9,81 +9,80 @@
 )
 
 const (
-	// crashThreshold is how many engines must have ended under a request for it to get no more. With two, a
-	// request that comes again after a crash, and meets one more that is not its doing, would be held.
+	// crashThreshold is how many engines must crash while running a request before it is held. With two, a request
+	// that is sent again after a crash and then meets an unrelated crash would be held.
 	crashThreshold = 3
 
-	// sameCrashWindow is how far apart nodes may learn of one end of an engine: each when its own
-	// connections break, or by a message. An engine is back after some seconds.
+	// sameCrashWindow is how far apart nodes may observe the same crash: each when its own connections
+	// break, or by a message. An engine takes some seconds to restart.
 	sameCrashWindow = 2 * time.Second
 
-	// answerGrace is how long after a whole answer an end does not count: a request that engines answer
-	// all the time is at work on those that are lost, too, also on several that are lost at once.
+	// answerGrace is how long after a complete answer a crash is not counted. A request that engines answer
+	// frequently is also running on engines that crash for other reasons, even several at once.
 	answerGrace = 2 * time.Second
 
-	// suspectTTL is how long the ends of an engine under a request are remembered while it
-	// is not held. Those that come again came within seconds.
+	// suspectTTL is how long crashes are remembered for a request that is not held. Requests that were
+	// sent again came within seconds.
 	suspectTTL = 10 * time.Minute
 
-	// firstTrialDelay is how long after its newest crash a request that is held may be tried once more, and
-	// mostTrials how often that time is doubled: engines may have got another version. A trial that
-	// crashes costs its engine's other requests; at most three are made in the first six minutes.
-	firstTrialDelay = time.Minute
+	// firstTrialDelay is how long after its latest crash a held request may be tried again, and maxTrialDoublings how
+	// often this delay is doubled. Trials are made because engines may have a new version by then. A trial that crashes
+	// fails the other requests of its engine; at most three are made in the first six minutes.
+	firstTrialDelay   = time.Minute
 	maxTrialDoublings = 5
 
-	// maxCrashesKept is how many ends of one request are kept; they tell how often it was tried.
+	// maxCrashesKept is how many crashes are kept per request; their number determines the trial delay.
 	maxCrashesKept = crashThreshold + maxTrialDoublings
 
-	// answeredTTL is how long a request that was answered whole stays known, so that all peers hear of it.
+	// answeredTTL is how long the record of an answered request is kept, so that all peers learn of the answer.
 	answeredTTL = 10 * time.Second
 
-	// maxRecords is how many requests are remembered, over all teams. A record with one end takes 220 bytes of the heap.
+	// maxRecords bounds the records of all teams together. A record with one crash takes 220 bytes of heap.
 	maxRecords = 4096
 )
 
 type (
-	// Subject says whose request it is, and what it asks for.
+	// Subject is the team and the route of a request.
 	Subject struct {
 		Team, Route string
 	}
 
-	// Crash is an engine's end while a request was at work there.
+	// Crash is the crash of an engine while it ran a request.
 	Crash struct {
 		Engine string
 		At     time.Time
 	}
 
-	// Held is a request that gets no engine, and why.
+	// Held is a request that is not sent to engines, and the reason.
 	Held struct {
 		Subject
 		Fingerprint Fingerprint
-		Crashes        []Crash     // Ends are the engines that ended under it, the oldest first.
-		TrialAt     time.Time // TrialAt is when it may be tried once more.
+		Crashes     []Crash   // Crashes are the crashes of engines that ran it, the oldest first.
+		TrialAt     time.Time // TrialAt is when it may be sent to an engine again as a trial.
 	}
 
-	// Quarantine knows under which requests engines have ended. Its methods may be called from many
-	// goroutines.
+	// Quarantine records which requests crashed engines. It is safe for concurrent use.
 	Quarantine struct {
-		maySendTrial func(now time.Time, f Fingerprint) bool // tries says whether this node is the one to try a request once more.
-		log   *slog.Logger
+		maySendTrial func(now time.Time, f Fingerprint) bool // maySendTrial reports whether this node may send the trial of a request.
+		log          *slog.Logger
 
-		held atomic.Int64 // held is how many requests are held.
+		held atomic.Int64 // held is the number of held requests.
 
 		mu       sync.Mutex
 		records  map[Fingerprint]*record
-		answered map[string]*recentAnswers // answered are the newest whole answers, by team.
-		unsaved   map[Fingerprint]bool // unkept are the requests of which the platform's store should hear.
-		wake      chan struct{}        // due tells the keeper that there are some.
+		answered map[string]*recentAnswers // answered holds the latest complete answers by team.
+		unsaved  map[Fingerprint]bool      // unsaved holds the requests whose rows may be out of date.
+		wake     chan struct{}             // wake wakes the Persister when there are unsaved requests.
 	}
 )
 
-// New returns an empty quarantine. A request that is held for long enough is tried again, once, by
-// the node for which tries holds.
+// New returns an empty quarantine. Once the trial of a held request is due, the node for which maySendTrial
+// returns true sends it to an engine once.
 func New(maySendTrial func(now time.Time, f Fingerprint) bool, log *slog.Logger) *Quarantine {
 	return &Quarantine{maySendTrial: maySendTrial, log: log, records: map[Fingerprint]*record{}, answered: map[string]*recentAnswers{}, unsaved: map[Fingerprint]bool{}, wake: make(chan struct{}, 1)}
 }
 
-// RecordCrash records that an engine has ended while a request was at work there.
+// RecordCrash records that an engine crashed while it ran a request.
 func (q *Quarantine) RecordCrash(now time.Time, f Fingerprint, s Subject, engine string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -97,7 +96,7 @@
 	}
 }
 
-// addCrash takes an addCrash of an engine under a request, and reports whether it was not known and counts.
+// addCrash adds a crash to the record of a request, and reports whether it was new and counted.
 // The caller holds the lock.
 func (q *Quarantine) addCrash(now time.Time, f Fingerprint, s Subject, e Crash) bool {
 	r := q.records[f]
@@ -131,7 +130,7 @@
 	return true
 }
 
-// lastAnswer returns when a request was last known to be answered whole; r may be nil. The caller
+// lastAnswer returns when a request was last known to be answered completely; r may be nil. The caller
 // holds the lock.
 func (q *Quarantine) lastAnswer(f Fingerprint, s Subject, r *record) time.Time {
 	var last time.Time
@@ -144,8 +143,8 @@
 	return last
 }
 
-// RecordAnswer records that an engine has answered a request whole. A request that crashes engines
-// never is: what was counted against it was not its doing.
+// RecordAnswer records that an engine answered a request completely. A request that crashes engines is never
+// answered, so crashes counted against this one had another cause.
 func (q *Quarantine) RecordAnswer(now time.Time, f Fingerprint, team string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -161,7 +160,7 @@
 	}
 }
 
-// Release frees a request that is held, at all nodes, and reports whether it was.
+// Release releases a held request on all nodes, and reports whether it was held.
 func (q *Quarantine) Release(now time.Time, f Fingerprint) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -175,7 +174,7 @@
 	return true
 }
 
-// clearCrashes drops the ends under a request that was answered whole at a moment. The caller holds the lock.
+// clearCrashes removes the crashes that don't count because the request was answered at a time. The caller holds the lock.
 func (q *Quarantine) clearCrashes(now, at time.Time, f Fingerprint, r *record) {
 	if at.After(r.answered) {
 		r.answered = at
@@ -195,8 +194,8 @@
 	}
 }
 
-// Admit returns why a request may not be sent to an engine, or nil if it may. One that is held may be sent once
-// where its time for a trial has come and this node is the one to try it; it is a trial then.
+// Admit returns the reason why a request must not be sent to an engine, or nil if it may be sent. A held request may be
+// sent once as a trial, if the trial is due and this node may send it.
 func (q *Quarantine) Admit(now time.Time, f Fingerprint) (held *Held, trial bool) {
 	if q.held.Load() == 0 {
 		return nil, false
@@ -211,11 +210,11 @@
 		return r.held(f), false
 	}
 	r.tried = now
-	q.log.Warn("request tried again", "fingerprint", f.String(), "team", r.Team, "route", r.Route, "engines", engineIDs(r.crashes))
+	q.log.Warn("trial of a held request", "fingerprint", f.String(), "team", r.Team, "route", r.Route, "engines", engineIDs(r.crashes))
 	return nil, true
 }
 
-// List returns the requests that are held.
+// List returns the held requests.
 func (q *Quarantine) List() []*Held {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -228,8 +227,8 @@
 	return out
 }
 
-// Len returns how many requests are held.
+// Len returns the number of held requests.
 func (q *Quarantine) Len() int64 { return q.held.Load() }
 
-// Engines returns the engines that ended under a request that is held.
+// Engines returns the engines that crashed while running the request.
 func (h *Held) Engines() []string { return engineIDs(h.Crashes) }
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -16,7 +16,7 @@
 	subject = quarantine.Subject{Team: "t", Route: "r"}
 )
 
-// never lets this node try what is held.
+// never lets this node send no trial.
 func never(time.Time, quarantine.Fingerprint) bool { return false }
 
 // newQuarantine returns an empty quarantine.
@@ -24,17 +24,17 @@
 	return quarantine.New(maySendTrial, slog.New(slog.DiscardHandler))
 }
 
-// at returns a moment by its milliseconds.
+// at returns the time some milliseconds after the start.
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-// isHeld reports whether a request gets no engine.
+// isHeld reports whether a request is held and no trial is due.
 func isHeld(q *quarantine.Quarantine, now time.Time, f quarantine.Fingerprint) bool {
 	held, _ := q.Admit(now, f)
 	return held != nil
 }
 
-// TestHeldAfterThreeCrashes holds how many engines have to end under a request, and that one end which is learned
-// twice counts once.
+// TestHeldAfterThreeCrashes checks the number of crashes after which a request is held, and that a crash which is
+// observed twice counts once.
 func TestHeldAfterThreeCrashes(t *testing.T) {
 	q := newQuarantine(never)
 	for i, end := range []struct {
@@ -44,7 +44,7 @@
 	}{{0, "e1", false}, {50, "e1", false}, {400, "e2", false}, {450, "e1", false}, {900, "e3", true}} {
 		q.RecordCrash(at(end.ms), fingerprint, subject, end.engine)
 		if got := isHeld(q, at(end.ms), fingerprint); got != end.held {
-			t.Errorf("after end %d: held %v, want %v", i, got, end.held)
+			t.Errorf("after crash %d: held %v, want %v", i, got, end.held)
 		}
 	}
 	if isHeld(q, at(900), fingerprint+1) {
@@ -52,23 +52,23 @@
 	}
 	held, _ := q.Admit(at(1000), fingerprint)
 	if got := fmt.Sprint(held.Engines()); got != "[e1 e2 e3]" || held.Subject != subject || q.Len() != 1 || len(q.List()) != 1 {
-		t.Errorf("held for %v by %+v, %d in all", got, held.Subject, q.Len())
+		t.Errorf("held because of %v, subject %+v, %d held in all", got, held.Subject, q.Len())
 	}
 }
 
-// TestRepeatedCrashOfOneEngineCounts holds that a pool of one engine is protected, too.
+// TestRepeatedCrashOfOneEngineCounts checks that a pool with a single engine is protected too.
 func TestRepeatedCrashOfOneEngineCounts(t *testing.T) {
 	q := newQuarantine(never)
 	for i := range 3 {
 		q.RecordCrash(at(5000*i), fingerprint, subject, "e1")
 	}
 	if !isHeld(q, at(10_000), fingerprint) {
-		t.Error("a request under which one engine has ended three times is not held")
+		t.Error("a request that crashed one engine three times is not held")
 	}
 }
 
-// TestAPopularRequestIsNotHeld holds that one which engines answer all the time goes on being served though several
-// engines at which it is at work are lost at once, again and again; and that a whole answer frees one that is held.
+// TestAPopularRequestIsNotHeld checks that a request which engines answer frequently is still served although several
+// engines running it crash at once, repeatedly, and that a complete answer releases a held request.
 func TestAPopularRequestIsNotHeld(t *testing.T) {
 	q := newQuarantine(never)
 	for ms := 0; ms < 30_000; ms += 10 {
@@ -87,16 +87,16 @@
 		q.RecordCrash(at(i), fingerprint, subject, fmt.Sprint("e", i))
 	}
 	if !isHeld(q, at(10), fingerprint) {
-		t.Fatal("not held without an answer")
+		t.Fatal("three crashes and no answer: not held")
 	}
 	q.RecordAnswer(at(20), fingerprint, subject.Team)
 	if isHeld(q, at(30), fingerprint) || q.Len() != 0 {
-		t.Error("held though an engine has answered it whole")
+		t.Error("held although an engine answered it completely")
 	}
 }
 
-// TestRecentAnswersAreKeptPerTeam holds that a team which sends only different requests does not push
-// out what is known of another one's.
+// TestRecentAnswersAreKeptPerTeam checks that a team with many different requests does not evict the
+// answers of another team.
 func TestRecentAnswersAreKeptPerTeam(t *testing.T) {
 	q := newQuarantine(never)
 	q.RecordAnswer(at(0), fingerprint, subject.Team)
@@ -111,8 +111,8 @@
 	}
 }
 
-// TestRecordsAreEvictedFromTheLargestTeam holds that what is remembered is bounded, and that a team with many records
-// loses its own.
+// TestRecordsAreEvictedFromTheLargestTeam checks that the number of records is bounded, and that a team with many
+// records loses its own.
 func TestRecordsAreEvictedFromTheLargestTeam(t *testing.T) {
 	q := newQuarantine(never)
 	for i := range 3 {
@@ -123,29 +123,29 @@
 		q.RecordCrash(at(10+i/100), fingerprint+2+quarantine.Fingerprint(i), quarantine.Subject{Team: "other"}, "e1")
 	}
 	if !isHeld(q, at(500), fingerprint) {
-		t.Error("a request that was held is forgotten")
+		t.Error("the record of a held request was evicted")
 	}
 	q.RecordCrash(at(600), fingerprint+1, subject, "e10")
 	q.RecordCrash(at(700), fingerprint+1, subject, "e11")
 	if !isHeld(q, at(700), fingerprint+1) {
-		t.Error("the ends under a request are forgotten for another team's")
+		t.Error("the crashes of a request were evicted by another team's records")
 	}
 }
 
-// TestOldCrashesExpire holds that ends which lie far apart are not added up.
+// TestOldCrashesExpire checks that crashes which lie far apart do not add up.
 func TestOldCrashesExpire(t *testing.T) {
 	q := newQuarantine(never)
 	for i := range 6 {
 		now := start.Add(time.Duration(i) * 6 * time.Minute)
 		q.RecordCrash(now, fingerprint, subject, fmt.Sprint("e", i))
 		if isHeld(q, now, fingerprint) {
-			t.Fatalf("held after %d ends six minutes apart", i+1)
+			t.Fatalf("held after %d crashes six minutes apart", i+1)
 		}
 	}
 }
 
-// TestTrials holds that a held request is tried once, by the node whose turn it is, later with each end, and
-// is free once a trial was answered whole.
+// TestTrials checks that a held request is tried once, by the node that may send the trial, after a longer delay with
+// each crash, and that it is released when a trial is answered.
 func TestTrials(t *testing.T) {
 	mine := false
 	q := newQuarantine(func(time.Time, quarantine.Fingerprint) bool { return mine })
@@ -158,7 +158,7 @@
 	}
 	soon, due := start.Add(59*time.Second), start.Add(61*time.Second)
 	if trial(due) {
-		t.Error("tried by another node than the one whose turn it is")
+		t.Error("trial sent by a node that may not send it")
 	}
 	mine = true
 	if trial(soon) || !trial(due) || trial(due.Add(time.Second)) {
@@ -166,17 +166,17 @@
 	}
 	q.RecordCrash(due, fingerprint, subject, "e4")
 	if trial(due.Add(119*time.Second)) || !trial(due.Add(121*time.Second)) {
-		t.Error("want the next one two minutes after the end in the first")
+		t.Error("want the next trial two minutes after the crash in the first")
 	}
 	q.RecordAnswer(due.Add(122*time.Second), fingerprint, subject.Team)
 	if held, again := q.Admit(due.Add(123*time.Second), fingerprint); held != nil || again {
-		t.Error("still held after a trial that was answered whole")
+		t.Error("still held after a trial was answered completely")
 	}
 }
 
-// TestCrashesAreSharedBetweenPeers holds that ends at several nodes add up at all of them, each counted once
-// however often it is told, that a whole answer known to one node frees a request at all, and that told ages
-// do not grow what is known.
+// TestCrashesAreSharedBetweenPeers checks that crashes observed by several nodes add up on all of them, each counted
+// once however often it is gossiped, that an answer known to one node releases the request on all, and that gossiped
+// ages don't make known crashes look new.
 func TestCrashesAreSharedBetweenPeers(t *testing.T) {
 	const nodes = 4
 	var all [nodes]*quarantine.Quarantine
@@ -194,7 +194,7 @@
 	}
 	for i := range 3 {
 		all[i].RecordCrash(at(100*i), fingerprint, subject, fmt.Sprint("e", i))
-		all[i+1].RecordCrash(at(100*i+30), fingerprint, subject, fmt.Sprint("e", i)) // Another copy of it was there.
+		all[i+1].RecordCrash(at(100*i+30), fingerprint, subject, fmt.Sprint("e", i)) // Another node ran a copy of the request on the same engine.
 		exchange(100*i + 50)
 	}
 	for i, q := range all {
@@ -206,20 +206,20 @@
 		exchange(ms)
 	}
 	if told := all[0].GossipEntries(at(20_000), 400*time.Millisecond); len(told) != 1 || told[0].Age < 19*time.Second {
-		t.Errorf("what is known to all is told on as new: %+v", told)
+		t.Errorf("a record known to all nodes is gossiped as new: %+v", told)
 	}
 	all[3].RecordAnswer(at(20_100), fingerprint, subject.Team)
 	exchange(20_110)
 	exchange(20_210)
 	for i, q := range all {
 		if isHeld(q, at(20_300), fingerprint) {
-			t.Errorf("node %d holds it still", i)
+			t.Errorf("node %d still holds it", i)
 		}
 	}
 }
 
-// TestPeerWithRecentAnswerCorrectsOthers holds that a node which has had a whole answer to a request lately tells those that
-// count ends against it.
+// TestPeerWithRecentAnswerCorrectsOthers checks that a node with a recent answer to a request informs peers that
+// count crashes against it.
 func TestPeerWithRecentAnswerCorrectsOthers(t *testing.T) {
 	one, other := newQuarantine(never), newQuarantine(never)
 	other.RecordAnswer(at(0), fingerprint, subject.Team)
@@ -231,16 +231,16 @@
 	}
 	other.MergeGossip(at(120), one.GossipEntries(at(110), time.Second))
 	if isHeld(other, at(130), fingerprint) {
-		t.Error("held by the node that had an answer")
+		t.Error("held by the node with the answer")
 	}
 	one.MergeGossip(at(140), other.GossipEntries(at(130), time.Second))
 	if isHeld(one, at(150), fingerprint) {
-		t.Error("held, though a peer told of a whole answer 100 ms before the ends")
+		t.Error("held although a peer reported an answer 100 ms before the crashes")
 	}
 }
 
-// TestGossipedAnswerDoesNotGetYounger holds that a whole answer of before the ends frees nothing however often nodes tell each other of
-// it: each message makes it seem a little later.
+// TestGossipedAnswerDoesNotGetYounger checks that an answer from before the crashes never releases a request, however
+// often nodes exchange it. Each message makes the answer seem a little later.
 func TestGossipedAnswerDoesNotGetYounger(t *testing.T) {
 	one, other := newQuarantine(never), newQuarantine(never)
 	one.RecordCrash(at(0), fingerprint, subject, "e0")
@@ -255,6 +255,6 @@
 		one.MergeGossip(at(ms+80), other.GossipEntries(at(ms+50), time.Second))
 	}
 	if held, _ := one.Admit(at(30_000), fingerprint); held == nil || !held.Crashes[0].At.Equal(at(3000)) || !isHeld(other, at(30_000), fingerprint) {
-		t.Errorf("held for %+v, want the ends as they were seen", held)
+		t.Errorf("held for %+v, want the crashes at the times they were observed", held)
 	}
 }
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -6,30 +6,30 @@
 	"time"
 )
 
-// record is what is known of one request under which an engine has ended.
+// record is what is known of a request that was running when an engine crashed.
 type record struct {
 	Subject
-	crashes     []Crash     // ends are those since the newest whole answer, the oldest first.
-	answered time.Time // answered is when it was last known to be answered whole.
-	tried    time.Time // tried is when this node last let it be tried.
-	seenHere      bool      // own says that this node has seen an end or an answer itself: those that have keep the request in the platform's store.
+	crashes  []Crash   // crashes are those since the latest complete answer, the oldest first.
+	answered time.Time // answered is when it was last known to be answered completely.
+	tried    time.Time // tried is when this node last sent a trial.
+	seenHere bool      // seenHere is set once this node itself observed a crash or an answer; only such nodes update the stored row.
 	changed  time.Time // changed is when something was learned that peers may not know.
 }
 
-// isHeld reports whether so many engines have ended under the request that it gets none.
+// isHeld reports whether enough engines crashed for the request to be held.
 func (r *record) isHeld() bool { return len(r.crashes) >= crashThreshold }
 
-// held returns what is told of the request, which is held.
+// held returns the description of a held request.
 func (r *record) held(f Fingerprint) *Held {
 	return &Held{Subject: r.Subject, Fingerprint: f, Crashes: slices.Clone(r.crashes), TrialAt: r.trialAt()}
 }
 
-// hasCrash reports whether an end is one that is known already.
+// hasCrash reports whether a crash is already recorded.
 func (r *record) hasCrash(e Crash) bool {
 	return slices.ContainsFunc(r.crashes, func(o Crash) bool { return o.Engine == e.Engine && e.At.Sub(o.At).Abs() <= sameCrashWindow })
 }
 
-// trialAt returns when the request may be tried once more: the later, the more ends there were.
+// trialAt returns when the next trial is due; the delay grows with the number of crashes.
 func (r *record) trialAt() time.Time {
 	newest := r.crashes[len(r.crashes)-1].At
 	if r.tried.After(newest) {
@@ -38,7 +38,7 @@
 	return newest.Add(firstTrialDelay << (len(r.crashes) - crashThreshold))
 }
 
-// engineIDs returns the engineIDs that ended.
+// engineIDs returns the engines that crashed.
 func engineIDs(crashes []Crash) []string {
 	out := make([]string, 0, len(crashes))
 	for _, e := range crashes {
@@ -47,8 +47,7 @@
 	return out
 }
 
-// addRecord adds a record, in place of a less important one where there is no room. The caller holds
-// the lock.
+// addRecord adds a record and evicts others if there is no room. The caller holds the lock.
 func (q *Quarantine) addRecord(now time.Time, f Fingerprint, s Subject) *record {
 	if len(q.records) >= maxRecords {
 		q.evictRecords()
@@ -58,7 +57,7 @@
 	return r
 }
 
-// expireRecords drops records that have nothing to tell any more. The caller holds the lock.
+// expireRecords removes records that are no longer needed. The caller holds the lock.
 func (q *Quarantine) expireRecords(now time.Time) {
 	for f, r := range q.records {
 		if age := now.Sub(r.changed); age > suspectTTL && !r.isHeld() || age > answeredTTL && len(r.crashes) == 0 {
@@ -67,8 +66,8 @@
 	}
 }
 
-// evictRecords drops an eighth of the records of the team that has the most: those with the fewest ends, and among
-// these the oldest. No team's records so push out those of another that has fewer. The caller holds the lock.
+// evictRecords removes an eighth of the records of the team with the most records: those with the fewest crashes, and the
+// oldest among these. A team thus can't evict the records of teams that have fewer. The caller holds the lock.
 func (q *Quarantine) evictRecords() {
 	teams := map[string][]Fingerprint{}
 	most := ""
@@ -88,7 +87,7 @@
 	}
 }
 
-// compare orders records by how much they matter, the least first.
+// compare orders records by importance, the least important first.
 func (r *record) compare(o *record) int {
 	return cmp.Or(cmp.Compare(len(r.crashes), len(o.crashes)), r.changed.Compare(o.changed))
 }
--- a/internal/quarantine/tell.go
+++ b/internal/quarantine/tell.go
@@ -7,26 +7,26 @@
 )
 
 const (
-	// maxGossipEntries is how many records are told in one message: about 5 KB.
+	// maxGossipEntries bounds the entries of one message, at about 5 KB.
 	maxGossipEntries = 64
 
-	// sameAnswerWindow is how far apart two whole answers are told of that may be one: each message on its way makes it seem
-	// later, and what is told again and again would grow as young as the ends after it.
+	// sameAnswerWindow is how far apart two reports of the same answer may lie. Transit time is not part of the age that is sent,
+	// so each message makes the answer seem later; passed on often enough, it would seem later than the crashes after it.
 	sameAnswerWindow = time.Second
 )
 
 type (
-	// GossipEntry is what a node tells its peers of one request.
+	// GossipEntry is what a node tells its peers about a request.
 	GossipEntry struct {
 		_             struct{} `cbor:",toarray"`
 		Fingerprint   uint64
 		Team, Route   string
-		Crashes          []GossipCrash
-		AnsweredAgeMs int64         // AnsweredAgeMs is how long ago it was answered whole; -1 if that is not known.
-		Age           time.Duration `cbor:"-"` // Age is how long ago the sender learned the newest of it; it is not sent.
+		Crashes       []GossipCrash
+		AnsweredAgeMs int64         // AnsweredAgeMs is how long ago it was answered completely; -1 if not known.
+		Age           time.Duration `cbor:"-"` // Age is how long ago the sender last learned something about it; it is not sent.
 	}
 
-	// GossipCrash is an engine's end under a request.
+	// GossipCrash is the crash of an engine while it ran a request.
 	GossipCrash struct {
 		_      struct{} `cbor:",toarray"`
 		Engine string
@@ -34,8 +34,8 @@
 	}
 )
 
-// GossipEntries returns what peers should know: what was learned within a time, and all requests that are
-// held. The newest come first.
+// GossipEntries returns what peers should know: all held requests, and those with changes within the
+// window. The newest changes come first.
 func (q *Quarantine) GossipEntries(now time.Time, window time.Duration) []GossipEntry {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -50,7 +50,7 @@
 	return out[:min(len(out), maxGossipEntries)]
 }
 
-// gossipEntry returns what is gossipEntry of a record.
+// gossipEntry returns the gossip entry of a record.
 func (r *record) gossipEntry(now time.Time, f Fingerprint, age time.Duration) GossipEntry {
 	t := GossipEntry{Fingerprint: uint64(f), Team: r.Team, Route: r.Route, AnsweredAgeMs: -1, Age: age}
 	for _, e := range r.crashes {
@@ -62,7 +62,7 @@
 	return t
 }
 
-// MergeGossip takes what a peer tells. What it has not known itself it tells on.
+// MergeGossip merges the entries of a peer. What was new to this node is passed on.
 func (q *Quarantine) MergeGossip(now time.Time, list []GossipEntry) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -80,8 +80,8 @@
 	}
 }
 
-// correctPeers tells the peers of a whole answer that this node knows of and by which an end at a moment, of
-// which one of them told, does not count. The caller holds the lock.
+// correctPeers makes this node tell its peers of an answer that it knows of, if that answer rules out a crash which a peer
+// reported. The caller holds the lock.
 func (q *Quarantine) correctPeers(now time.Time, f Fingerprint, s Subject, crashedAt time.Time) {
 	r := q.records[f]
 	last := q.lastAnswer(f, s, r)
@@ -94,5 +94,5 @@
 	r.answered, r.changed = last, now
 }
 
-// millis turns milliseconds into a duration.
+// millis converts milliseconds to a duration.
 func millis(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
