--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -196,7 +196,7 @@
 	e.follower = feed.NewFollower(s.PeerAddress, e.calls, e.log, e.config, e.engines)
 	e.peers = peer.NewServer(listener, e.traffic, e.log)
 	e.peers.Handle(feed.MethodTable, peer.Typed(e.follower.Answer))
-	e.peers.Handle(limit.MethodPermit, peer.Typed(e.permits.Answer))
+	e.peers.Handle(limit.MethodPermit, peer.Typed(e.permits.HandleRequest))
 	e.duties = e.newDuties(now)
 	return nil
 }
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -44,7 +44,7 @@
 		Crashing      []quarantine.GossipEntry            `cbor:"14,keyasint,omitempty"` // Crashing are requests under which engines ended: what was learned of them lately, and all that are held.
 		Nodes         NodeCount                    `cbor:"15,keyasint,omitzero"`  // Nodes is how many nodes a hub knows of.
 		Chosen        []Known                      `cbor:"16,keyasint,omitempty"` // Chosen are the hubs that a hub wants in its hall, for those that may not know them.
-		Limits        []limit.Told                 `cbor:"17,keyasint,omitempty"` // Limits are the limits of engines, and which of them have ended lately.
+		Limits        []limit.GossipEntry                 `cbor:"17,keyasint,omitempty"` // Limits are the limits of engines, and which of them have ended lately.
 		Leaving       []discovery.Told             `cbor:"18,keyasint,omitempty"` // Leaving are engines that said in their answers that they leave.
 	}
 
--- a/internal/limit/issuer.go
+++ b/internal/limit/issuer.go
@@ -7,66 +7,66 @@
 )
 
 const (
-	// burst is how many permits an engine that got no requests for a while has free at once.
+	// burst is how many permits are available at once for an engine that was idle.
 	burst = 2
 
-	// issuedLife is how long the permits of an engine are remembered that nobody asks for, and sweepEvery how often they are
-	// looked through.
-	issuedLife = 30 * time.Second
-	sweepEvery = 10 * time.Second
+	// issuedTTL is how long the schedule of an engine is kept after its last permit, and sweepInterval how often expired
+	// ones are removed.
+	issuedTTL     = 30 * time.Second
+	sweepInterval = 10 * time.Second
 )
 
 type (
-	// Issuer issues the permits for engines, for all nodes. Its methods may be called from many goroutines.
+	// Issuer issues the permits for engines to all nodes. It is safe for concurrent use.
 	Issuer struct {
-		mu      sync.Mutex
-		engines map[string]*issued
-		swept   time.Time
+		mu        sync.Mutex
+		engines   map[string]*schedule
+		lastSweep time.Time
 	}
 
-	// issued is how far the permits for an engine are given.
-	issued struct {
-		rate float64   // rate is in requests a second.
-		next time.Time // next is when the next permit is free.
+	// schedule is the state of the permits for an engine.
+	schedule struct {
+		rate float64   // rate is in requests per second.
+		next time.Time // next is when the next permit is available.
 	}
 )
 
-// NewIssuer returns an issuer that has issued nothing.
-func NewIssuer() *Issuer { return &Issuer{engines: map[string]*issued{}} }
+// NewIssuer returns an Issuer without state.
+func NewIssuer() *Issuer { return &Issuer{engines: map[string]*schedule{}} }
 
-// Issue issues a permit for an engine that takes a rate, in requests a second, if one is free within the longest wait. It
-// returns how long it is until then, in either case. An issuer that has issued none for an engine does not know what another
-// has issued just before, so that its first is free after the time from one to the next.
-func (i *Issuer) Issue(now time.Time, engine string, rate float64, longest time.Duration) (wait time.Duration, ok bool) {
+// Issue issues a permit for an engine with a rate limit, in requests per second, if one is available within maxWait. It
+// returns the time until a permit is available in either case. A new issuer doesn't know what its predecessor issued
+// last, so its first permit for an engine is available only after one interval.
+func (i *Issuer) Issue(now time.Time, engine string, rate float64, maxWait time.Duration) (wait time.Duration, ok bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.sweep(now)
-	every := time.Duration(float64(time.Second) / rate)
+	interval := time.Duration(float64(time.Second) / rate)
 	e := i.engines[engine]
 	if e == nil {
-		e = &issued{rate: rate, next: now.Add(every)}
+		e = &schedule{rate: rate, next: now.Add(interval)}
 		i.engines[engine] = e
 	}
-	if ahead := e.next.Sub(now); e.rate != rate && ahead > 0 {
-		e.next = now.Add(time.Duration(float64(ahead) * e.rate / rate))
+	if backlog := e.next.Sub(now); e.rate != rate && backlog > 0 {
+		e.next = now.Add(time.Duration(float64(backlog) * e.rate / rate))
 	}
 	e.rate = rate
-	if idle := now.Add(-(burst - 1) * every); e.next.Before(idle) {
+	if idle := now.Add(-(burst - 1) * interval); e.next.Before(idle) {
 		e.next = idle
 	}
 	wait = max(0, e.next.Sub(now))
-	if wait > longest {
+	if wait > maxWait {
 		return wait, false
 	}
-	e.next = e.next.Add(every)
+	e.next = e.next.Add(interval)
 	return wait, true
 }
 
-// sweep forgets engines for which nobody asks any more. The caller holds the lock.
+// sweep removes the schedules of engines that are no longer asked for. The caller holds the lock.
 func (i *Issuer) sweep(now time.Time) {
-	if now.Sub(i.swept) < sweepEvery {
+	if now.Sub(i.lastSweep) < sweepInterval {
 		return
 	}
-	i.swept = now
-	maps.DeleteFunc(i.engines, func(_ string, e *issued) bool { return now.Sub(e.next) > issuedLife })
+	i.lastSweep = now
+	maps.DeleteFunc(i.engines, func(_ string, e *schedule) bool { return now.Sub(e.next) > issuedTTL })
 }
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -16,11 +16,11 @@
 
 var start = time.Unix(1000, 0)
 
-// newLimits returns limits that log nothing.
+// newLimits returns Limits that log nothing.
 func newLimits() *limit.Limits { return limit.New(slog.New(slog.DiscardHandler)) }
 
-// TestPermitsKeepToTheRate draws who asks, when and for how long, and holds that permits are used at the rate, with two at
-// once at most, that nearly all are given where more are asked for, and that those who can wait longer get most.
+// TestPermitsKeepToTheRate issues permits at random times with random longest waits. Permits must be used at the rate, with
+// two at once at most; nearly all must be issued if demand is higher; and those with the longest wait must get most.
 func TestPermitsKeepToTheRate(t *testing.T) {
 	for _, rate := range []float64{0.2, 0.5, 1, 6, 40} {
 		r := rand.New(rand.NewPCG(1, uint64(rate*10)))
@@ -48,11 +48,11 @@
 				}
 			}
 			if most := int(math.Ceil(4*rate)) + 2; within > most {
-				t.Fatalf("rate %v: %d permits within 4 s, want %d at most", rate, within, most)
+				t.Fatalf("rate %v: %d permits within 4 s, want at most %d", rate, within, most)
 			}
 		}
 		if n := float64(len(used)); n < 0.8*400 {
-			t.Errorf("rate %v: %.0f of 400 permits were given", rate, n)
+			t.Errorf("rate %v: %.0f of 400 permits were issued", rate, n)
 		}
 		if got[0] > got[300*time.Millisecond] {
 			t.Errorf("rate %v: those that do not wait got %d, those that wait longest %d", rate, got[0], got[300*time.Millisecond])
@@ -60,53 +60,53 @@
 	}
 }
 
-// TestPermitsFollowARateThatChanges holds that a rate that falls counts from the next permit on, and one that rises at once.
-func TestPermitsFollowARateThatChanges(t *testing.T) {
+// TestPermitsFollowARateChange checks that a lower rate applies from the next permit on, and a higher one at once.
+func TestPermitsFollowARateChange(t *testing.T) {
 	issuer := limit.NewIssuer()
 	if wait, ok := issuer.Issue(start, "e", 4, time.Hour); !ok || wait != 250*time.Millisecond {
-		t.Fatalf("the first permit of an issuer that knows nothing: %v, %v", wait, ok)
+		t.Fatalf("first permit of a new issuer: %v, %v", wait, ok)
 	}
 	for range 9 {
 		issuer.Issue(start, "e", 4, time.Hour)
 	}
 	if wait, _ := issuer.Issue(start, "e", 1, 0); wait != 11*time.Second {
-		t.Errorf("ten permits ahead at 4 a second are %v at 1", wait)
+		t.Errorf("after ten permits at 4 per second, the wait at 1 per second is %v", wait)
 	}
 	if wait, _ := issuer.Issue(start, "e", 10, 0); wait != 1100*time.Millisecond {
-		t.Errorf("and %v at 10", wait)
+		t.Errorf("and %v at 10 per second", wait)
 	}
 }
 
-// TestWhatEnginesSayOfTheirLimits holds which word of an engine counts, by its own answers and by what peers tell.
-func TestWhatEnginesSayOfTheirLimits(t *testing.T) {
+// TestNewestLimitApplies checks which announcement of a limit applies, from an engine's own answers and from gossip.
+func TestNewestLimitApplies(t *testing.T) {
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	names := func(l *limit.Limits, ms int, rate float64) { l.Answered(at(ms), at(ms-10), "e", rate, true) }
-	told := func(rate float64, ageMs int64) []limit.Told {
-		return []limit.Told{{Engine: "e", Rate: rate, AgeMs: ageMs}}
+	told := func(rate float64, ageMs int64) []limit.GossipEntry {
+		return []limit.GossipEntry{{Engine: "e", Rate: rate, AgeMs: ageMs}}
 	}
 	for _, test := range []struct {
 		name string
 		said func(l *limit.Limits)
-		want float64 // want is the rate that counts then; 0 for none.
+		want float64 // want is the rate that applies then; 0 for none.
 	}{
 		{"nothing", func(*limit.Limits) {}, 0},
 		{"a limit", func(l *limit.Limits) { names(l, 0, 1.2) }, 1.2},
-		{"none at all", func(l *limit.Limits) { names(l, 0, 0) }, 0.2},
-		{"more than any engine takes", func(l *limit.Limits) { names(l, 0, 1e9) }, 0},
-		{"it falls", func(l *limit.Limits) { names(l, 0, 6); names(l, 100, 0.5) }, 0.5},
-		{"it ends", func(l *limit.Limits) { names(l, 0, 1); l.Answered(at(50), at(20), "e", 0, false) }, 0},
-		{"an answer to a request from before", func(l *limit.Limits) { names(l, 0, 1); l.Answered(at(50), at(-20), "e", 0, false) }, 1},
-		{"a peer's word", func(l *limit.Limits) { l.Hear(at(0), told(2, 100)) }, 2},
-		{"a peer's older word", func(l *limit.Limits) { names(l, 0, 1); l.Hear(at(100), told(2, 200)) }, 1},
-		{"a peer's word that it has ended", func(l *limit.Limits) { names(l, 0, 1); l.Hear(at(100), told(0, 50)) }, 0},
-		{"an old word after its end", func(l *limit.Limits) {
+		{"a limit of zero", func(l *limit.Limits) { names(l, 0, 0) }, 0.2},
+		{"above the maximum rate", func(l *limit.Limits) { names(l, 0, 1e9) }, 0},
+		{"lowered", func(l *limit.Limits) { names(l, 0, 6); names(l, 100, 0.5) }, 0.5},
+		{"ended by an answer", func(l *limit.Limits) { names(l, 0, 1); l.Answered(at(50), at(20), "e", 0, false) }, 0},
+		{"an answer to an earlier request", func(l *limit.Limits) { names(l, 0, 1); l.Answered(at(50), at(-20), "e", 0, false) }, 1},
+		{"gossip", func(l *limit.Limits) { l.MergeGossip(at(0), told(2, 100)) }, 2},
+		{"older gossip", func(l *limit.Limits) { names(l, 0, 1); l.MergeGossip(at(100), told(2, 200)) }, 1},
+		{"gossip of its end", func(l *limit.Limits) { names(l, 0, 1); l.MergeGossip(at(100), told(0, 50)) }, 0},
+		{"old gossip after its end", func(l *limit.Limits) {
 			names(l, 0, 1)
-			l.Hear(at(100), told(0, 50))
-			l.Hear(at(200), told(1, 200))
+			l.MergeGossip(at(100), told(0, 50))
+			l.MergeGossip(at(200), told(1, 200))
 		}, 0},
-		{"what can't be", func(l *limit.Limits) { l.Hear(at(0), told(-1, 0)); l.Hear(at(0), told(1, -5)) }, 0},
-		{"started again", func(l *limit.Limits) { names(l, 0, 1); l.Forget("e") }, 0},
-		{"not said for long", func(l *limit.Limits) { names(l, -301_000, 1); l.Tell(at(200), time.Second) }, 0},
+		{"invalid gossip", func(l *limit.Limits) { l.MergeGossip(at(0), told(-1, 0)); l.MergeGossip(at(0), told(1, -5)) }, 0},
+		{"engine restarted", func(l *limit.Limits) { names(l, 0, 1); l.Forget("e") }, 0},
+		{"expired", func(l *limit.Limits) { names(l, -301_000, 1); l.GossipEntries(at(200), time.Second) }, 0},
 	} {
 		l := newLimits()
 		test.said(l)
@@ -117,57 +117,57 @@
 	}
 }
 
-// TestWhatPeersAreToldOfLimits holds that a message is bounded however many engines have limits, begins with what is new, and
-// that all come by turns.
-func TestWhatPeersAreToldOfLimits(t *testing.T) {
+// TestGossipOfLimitsIsBounded checks that a message is bounded however many engines have limits, starts with new limits, and
+// that all limits are sent in rotation.
+func TestGossipOfLimitsIsBounded(t *testing.T) {
 	const engines, most = 1000, 64
 	l := newLimits()
 	for i := range engines {
 		l.Answered(start, start, fmt.Sprint("e", i), 1, true)
 	}
-	if n := len(l.Tell(start, time.Second)); n != most {
-		t.Errorf("%d engines are told of at once, want %d", n, most)
+	if n := len(l.GossipEntries(start, time.Second)); n != most {
+		t.Errorf("%d engines in one message, want %d", n, most)
 	}
 	later := start.Add(time.Minute)
 	l.Answered(later, later, "new", 1, true)
 	seen := map[string]bool{}
 	for range 2 * engines / most {
-		list := l.Tell(later, time.Second)
+		list := l.GossipEntries(later, time.Second)
 		if list[0].Engine != "new" || len(list) > most {
-			t.Fatalf("%d engines are told of, first %s", len(list), list[0].Engine)
+			t.Fatalf("%d engines in the message, the first is %s", len(list), list[0].Engine)
 		}
 		for _, told := range list {
 			seen[told.Engine] = true
 		}
 	}
 	if len(seen) != engines+1 {
-		t.Errorf("%d engines of %d were told of by turns", len(seen), engines+1)
+		t.Errorf("%d of %d engines were sent in rotation", len(seen), engines+1)
 	}
 }
 
-// peers answer calls at the permits of an address.
+// peers maps addresses to the Permits that handle their calls.
 type peers map[string]*limit.Permits
 
-// Call calls a peer that is there.
+// Call calls the peer at an address, or fails if there is none.
 func (p peers) Call(ctx context.Context, address, _ string, params, result any) error {
 	to := p[address]
 	if to == nil {
 		return errors.New("gone")
 	}
-	reply, err := to.Answer(ctx, params.(*limit.PermitRequest))
+	reply, err := to.HandleRequest(ctx, params.(*limit.PermitRequest))
 	if err == nil {
 		*result.(*limit.PermitReply) = *reply.(*limit.PermitReply)
 	}
 	return err
 }
 
-// TestPermitsOfOtherNodes holds that a node's permits come from the one that issues them, which hears of the limit with the
-// question, that an engine counts as closed where that one is gone or unknown, and that two sides of a cut issue what one did.
-func TestPermitsOfOtherNodes(t *testing.T) {
+// TestPermitsFromAnotherNode checks that permits come from the issuer node, which learns of the limit from the request, that no
+// permit is available if the issuer is gone or unknown, and that the two sides of a partition together keep to the rate.
+func TestPermitsFromAnotherNode(t *testing.T) {
 	others := peers{}
 	at, known, share := "a", true, 1.0
-	place := func(time.Time, string, string) (limit.Place, bool) { return limit.Place{Address: at}, known }
-	self := func(time.Time, string, string) (limit.Place, bool) { return limit.Place{Self: true}, true }
+	place := func(time.Time, string, string) (limit.IssuerNode, bool) { return limit.IssuerNode{Address: at}, known }
+	self := func(time.Time, string, string) (limit.IssuerNode, bool) { return limit.IssuerNode{Self: true}, true }
 	reach := func(time.Time) float64 { return share }
 	issuers := newLimits()
 	others["a"] = limit.NewPermits(issuers, others, self, reach, slog.New(slog.DiscardHandler))
@@ -178,36 +178,36 @@
 		return permit.Wait, permit.Issued
 	}
 	if _, ok := take(0); !ok {
-		t.Error("an engine without a limit needs no permit")
+		t.Error("an engine without a limit must not need a permit")
 	}
 	p.Answered(time.Now(), time.Now(), "e", 2, true)
 	if wait, ok := take(time.Second); !ok || wait < 400*time.Millisecond || wait > 600*time.Millisecond {
-		t.Errorf("the first permit: %v, %v", wait, ok)
+		t.Errorf("first permit: %v, %v", wait, ok)
 	}
 	if rate, _, _ := issuers.Rate(time.Now(), "e"); rate != 2 {
-		t.Errorf("the issuer knows of a limit of %v", rate)
+		t.Errorf("the issuer has a limit of %v", rate)
 	}
 	opens := func() time.Duration {
 		at, _ := l.Opens("e")
 		return time.Until(at)
 	}
 	if _, ok := take(0); ok || opens() < 500*time.Millisecond {
-		t.Errorf("a second one at once: %v, open in %v", ok, opens())
+		t.Errorf("second permit without a wait: %v, next permit in %v", ok, opens())
 	}
-	others["b"] = limit.NewPermits(newLimits(), others, func(time.Time, string, string) (limit.Place, bool) { return limit.Place{Address: "a"}, true }, reach, slog.New(slog.DiscardHandler))
+	others["b"] = limit.NewPermits(newLimits(), others, func(time.Time, string, string) (limit.IssuerNode, bool) { return limit.IssuerNode{Address: "a"}, true }, reach, slog.New(slog.DiscardHandler))
 	at = "b"
 	if wait, ok := take(time.Second); !ok || wait < 800*time.Millisecond {
-		t.Errorf("by a node that does not issue them: %v, %v", wait, ok)
+		t.Errorf("through a node that does not issue the permits: %v, %v", wait, ok)
 	}
 	at = "a"
 	share = 0.5
 	if wait, ok := take(5 * time.Second); !ok || wait < 2*time.Second {
-		t.Errorf("where half of the nodes are reached, a permit after %v, %v", wait, ok)
+		t.Errorf("with half of the nodes reachable: permit after %v, %v", wait, ok)
 	}
 	for _, lose := range []func(){func() { at = "gone" }, func() { at, known = "a", false }} {
 		lose()
 		if _, ok := take(time.Minute); ok || opens() <= 0 {
-			t.Error("a permit where none issues them")
+			t.Error("permit issued without a reachable issuer")
 		}
 	}
 }
--- a/internal/limit/limits.go
+++ b/internal/limit/limits.go
@@ -1,6 +1,6 @@
-// Package limit keeps to the limits that engines name: how many requests a second each takes from all nodes together.
-// Nodes tell each other which engines named one. One node issues the permits for an engine, and every node takes one there
-// before it sends the engine a request.
+// Package limit enforces the rate limits that engines announce: how many requests per second each accepts from all nodes
+// together. Nodes gossip the limits. For each engine one node issues permits, and every node obtains one there before it
+// sends the engine a request.
 package limit
 
 import (
@@ -13,46 +13,47 @@
 )
 
 const (
-	// leastRate is the lowest rate that is kept to, in requests a second. An engine that takes fewer, or none, is still sent
-	// one now and then: only its answers say when the limit ends.
-	leastRate = 0.2
+	// minRate is the lowest rate that is enforced, in requests per second. An engine with a lower limit, or a limit of zero, still
+	// gets a request now and then, since only its answers tell when the limit ends.
+	minRate = 0.2
 
-	// mostRate is the highest rate that is kept to, in requests a second; a higher one is no limit for any engine.
-	mostRate = 1000
+	// maxRate is the highest rate that is enforced, in requests per second; a higher limit is treated as none.
+	maxRate = 1000
 
-	// statedLife is how long a limit holds that is not said again, and endedLife how long its end is remembered, so that
-	// what a peer tells late does not bring it back.
-	statedLife = 5 * time.Minute
-	endedLife  = 30 * time.Second
+	// limitTTL is how long a limit is valid if it is not announced again, and clearedTTL how long the end of a limit is
+	// remembered, so that late gossip does not restore the limit.
+	limitTTL   = 5 * time.Minute
+	clearedTTL = 30 * time.Second
 )
 
 type (
-	// Limits knows the limits of engines. Its methods may be called from many goroutines.
+	// Limits holds the limits of engines. It is safe for concurrent use.
 	Limits struct {
 		log *slog.Logger
 
-		limited atomic.Int64 // limited is how many engines have a limit.
+		limited atomic.Int64 // limited is the number of engines that have a limit.
 
-		mu      sync.RWMutex
-		engines map[string]*stated
-		tell    news.List // tell is what peers are told of.
-		swept   time.Time // swept is when old entries were last looked for.
+		mu        sync.RWMutex
+		engines   map[string]*engineLimit
+		gossip    news.List // gossip lists the engines to gossip.
+		lastSweep time.Time // lastSweep is when expired limits were last removed.
 	}
 
-	// stated is what an engine said of its limit.
-	stated struct {
-		rate    float64   // rate is in requests a second; 0 where the limit has ended.
-		at      time.Time // at is when the engine last said so.
-		changed time.Time // changed is when this node learned that it is so.
-		opens   time.Time // opens is when a permit is expected to be free.
+	// engineLimit is the limit that an engine last announced.
+	engineLimit struct {
+		rate       float64   // rate is in requests per second; 0 if the limit has ended.
+		reportedAt time.Time // reportedAt is when the engine last announced it.
+		learnedAt  time.Time // changed is when this node learned of the present rate.
+		nextPermit time.Time // nextPermit is when a permit is expected to be available.
 	}
 )
 
-// New returns limits of no engines.
-func New(log *slog.Logger) *Limits { return &Limits{log: log, engines: map[string]*stated{}} }
+// New returns Limits without engines.
+func New(log *slog.Logger) *Limits { return &Limits{log: log, engines: map[string]*engineLimit{}} }
 
-// Answered takes what an engine said in an answer to a request that was sent at a moment: its limit, or that it has none. An
-// answer without a limit ends one only if the request was sent after the limit was last said: it may have overtaken another.
+// Answered applies the limit in an engine's answer to a request sent at a time, or the absence of one. An answer without a
+// limit ends a known limit only if its request was sent after the limit was last announced, since answers may overtake
+// one another.
 func (l *Limits) Answered(now, sent time.Time, engine string, rate float64, limited bool) {
 	if !limited && l.limited.Load() == 0 {
 		return
@@ -60,46 +61,46 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	known := l.engines[engine]
-	if !limited && (known == nil || known.rate == 0 || sent.Before(known.at)) {
+	if !limited && (known == nil || known.rate == 0 || sent.Before(known.reportedAt)) {
 		return
 	}
-	l.take(now, now, engine, kept(rate, limited), "answer")
+	l.update(now, now, engine, effectiveRate(rate, limited), "answer")
 }
 
-// kept returns the rate that is kept to where an engine named one; 0 for none.
-func kept(rate float64, limited bool) float64 {
-	if !limited || rate >= mostRate {
+// effectiveRate returns the rate to enforce for an announced limit; 0 for none.
+func effectiveRate(rate float64, limited bool) float64 {
+	if !limited || rate >= maxRate {
 		return 0
 	}
-	return max(rate, leastRate)
+	return max(rate, minRate)
 }
 
-// take takes a rate that an engine said at a moment, unless what is known is newer. The caller holds the lock.
-func (l *Limits) take(now, at time.Time, engine string, rate float64, from string) {
+// update applies a rate that an engine announced at a time, unless a newer one is known. The caller holds the lock.
+func (l *Limits) update(now, at time.Time, engine string, rate float64, from string) {
 	known := l.engines[engine]
 	if known == nil {
 		if rate == 0 {
 			return
 		}
-		known = &stated{}
+		known = &engineLimit{}
 		l.engines[engine] = known
-		l.tell.Add(engine)
+		l.gossip.Add(engine)
 	}
-	if !at.After(known.at) {
+	if !at.After(known.reportedAt) {
 		return
 	}
-	known.at = at
+	known.reportedAt = at
 	if known.rate == rate {
 		return
 	}
 	l.log.Info("engine limit", "engine", engine, "rate", rate, "before", known.rate, "from", from, "age_ms", now.Sub(at).Milliseconds())
-	l.count(known, rate)
-	known.changed, known.opens = now, time.Time{}
-	l.tell.Changed(engine)
+	l.setRate(known, rate)
+	known.learnedAt, known.nextPermit = now, time.Time{}
+	l.gossip.Changed(engine)
 }
 
-// count sets the rate of an engine, and counts those that have a limit. The caller holds the lock.
-func (l *Limits) count(known *stated, rate float64) {
+// setRate sets the rate of an engine and updates the number of engines that have a limit. The caller holds the lock.
+func (l *Limits) setRate(known *engineLimit, rate float64) {
 	switch {
 	case known.rate == 0 && rate > 0:
 		l.limited.Add(1)
@@ -109,32 +110,32 @@
 	known.rate = rate
 }
 
-// Close records that no permit for an engine is free before a moment, as far as is known.
-func (l *Limits) Close(engine string, until time.Time) {
+// SetNextPermit records that no permit for an engine is expected to be available before a time.
+func (l *Limits) SetNextPermit(engine string, until time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if known := l.engines[engine]; known != nil {
-		known.opens = until
+		known.nextPermit = until
 	}
 }
 
-// Forget drops what is known of an engine that has started again.
+// Forget removes the limit of an engine that has restarted.
 func (l *Limits) Forget(engine string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.drop(engine)
 }
 
-// drop drops what is known of an engine. The caller holds the lock.
+// drop removes the limit of an engine. The caller holds the lock.
 func (l *Limits) drop(engine string) {
 	if known := l.engines[engine]; known != nil {
-		l.count(known, 0)
-		l.tell.Remove(engine)
+		l.setRate(known, 0)
+		l.gossip.Remove(engine)
 		delete(l.engines, engine)
 	}
 }
 
-// Opens reports whether an engine has a limit, and when a permit to send a request there is expected to be free.
+// Opens reports whether an engine has a limit, and when a permit to send it a request is expected to be available.
 func (l *Limits) Opens(engine string) (at time.Time, limited bool) {
 	if l.limited.Load() == 0 {
 		return time.Time{}, false
@@ -145,10 +146,10 @@
 	if known == nil || known.rate == 0 {
 		return time.Time{}, false
 	}
-	return known.opens, true
+	return known.nextPermit, true
 }
 
-// Rate returns an engine's limit in requests a second and the age of what it said, or false where it has none.
+// Rate returns the limit of an engine in requests per second and its age, or false if it has none.
 func (l *Limits) Rate(now time.Time, engine string) (rate float64, age time.Duration, ok bool) {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
@@ -156,20 +157,21 @@
 	if known == nil || known.rate == 0 {
 		return 0, 0, false
 	}
-	return known.rate, now.Sub(known.at), true
+	return known.rate, now.Sub(known.reportedAt), true
 }
 
-// Len returns how many engines have a limit.
+// Len returns the number of engines that have a limit.
 func (l *Limits) Len() int64 { return l.limited.Load() }
 
-// sweep drops limits that nobody said for long, and ends that all have heard of. The caller holds the lock.
+// sweep removes limits that were not announced for long, and ended limits that all peers have learned of. The caller holds
+// the lock.
 func (l *Limits) sweep(now time.Time) {
-	if now.Sub(l.swept) < sweepEvery {
+	if now.Sub(l.lastSweep) < sweepInterval {
 		return
 	}
-	l.swept = now
+	l.lastSweep = now
 	for engine, known := range l.engines {
-		if known.rate == 0 && now.Sub(known.changed) > endedLife || now.Sub(known.at) > statedLife {
+		if known.rate == 0 && now.Sub(known.learnedAt) > clearedTTL || now.Sub(known.reportedAt) > limitTTL {
 			l.drop(engine)
 		}
 	}
--- a/internal/limit/tell.go
+++ b/internal/limit/tell.go
@@ -2,34 +2,35 @@
 
 import "time"
 
-// mostTold is how many engines are told of in one message: about 2 KB.
-const mostTold = 64
+// maxGossipEntries bounds the engines in one message, at about 2 KB.
+const maxGossipEntries = 64
 
-// Told is what a node tells its peers of an engine's limit.
-type Told struct {
+// GossipEntry is what a node tells its peers about an engine's limit.
+type GossipEntry struct {
 	_      struct{} `cbor:",toarray"`
 	Engine string
-	Rate   float64       // Rate is in requests a second; 0 where the limit has ended.
-	AgeMs  int64         // AgeMs is how long ago the engine said so.
-	Age    time.Duration `cbor:"-"` // Age is how long ago the sender learned it; it is not sent.
+	Rate   float64       // Rate is in requests per second; 0 if the limit has ended.
+	AgeMs  int64         // AgeMs is how long ago the engine announced it.
+	Age    time.Duration `cbor:"-"` // Age is how long ago the sender learned of it; it is not sent.
 }
 
-// Tell returns what peers should know: first what was learned within a time, the newest first, then some of the rest by turns.
-func (l *Limits) Tell(now time.Time, span time.Duration) []Told {
+// GossipEntries returns the next entries to gossip: the changes within the window, newest first, then some of the others in
+// rotation.
+func (l *Limits) GossipEntries(now time.Time, window time.Duration) []GossipEntry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sweep(now)
-	recent := func(engine string) bool { return now.Sub(l.engines[engine].changed) <= span }
-	var out []Told
-	for _, engine := range l.tell.Next(recent, mostTold) {
+	recent := func(engine string) bool { return now.Sub(l.engines[engine].learnedAt) <= window }
+	var out []GossipEntry
+	for _, engine := range l.gossip.Next(recent, maxGossipEntries) {
 		s := l.engines[engine]
-		out = append(out, Told{Engine: engine, Rate: s.rate, AgeMs: now.Sub(s.at).Milliseconds(), Age: now.Sub(s.changed)})
+		out = append(out, GossipEntry{Engine: engine, Rate: s.rate, AgeMs: now.Sub(s.reportedAt).Milliseconds(), Age: now.Sub(s.learnedAt)})
 	}
 	return out
 }
 
-// Hear takes what a peer tells.
-func (l *Limits) Hear(now time.Time, list []Told) {
+// MergeGossip merges the entries of a peer.
+func (l *Limits) MergeGossip(now time.Time, list []GossipEntry) {
 	if len(list) == 0 {
 		return
 	}
@@ -39,6 +40,6 @@
 		if t.AgeMs < 0 || t.Rate < 0 {
 			continue
 		}
-		l.take(now, now.Add(-time.Duration(t.AgeMs)*time.Millisecond), t.Engine, kept(t.Rate, t.Rate > 0), "peer")
+		l.update(now, now.Add(-time.Duration(t.AgeMs)*time.Millisecond), t.Engine, effectiveRate(t.Rate, t.Rate > 0), "peer")
 	}
 }
