--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -41,10 +41,10 @@
 		LostAgeMs     int64                        `cbor:"11,keyasint,omitempty"` // LostAgeMs is how long ago its last call failed; -1 if never.
 		Places        map[string][]dispatch.Places `cbor:"12,keyasint,omitempty"` // Places tells how the tiers fared, by pool.
 		Holder        Holder                       `cbor:"13,keyasint,omitempty"` // Holder is who holds the system's duties, as the sender knows.
-		Crashing      []quarantine.GossipEntry            `cbor:"14,keyasint,omitempty"` // Crashing are requests under which engines ended: what was learned of them lately, and all that are held.
+		Crashing      []quarantine.GossipEntry     `cbor:"14,keyasint,omitempty"` // Crashing are requests under which engines ended: what was learned of them lately, and all that are held.
 		Nodes         NodeCount                    `cbor:"15,keyasint,omitzero"`  // Nodes is how many nodes a hub knows of.
 		Chosen        []Known                      `cbor:"16,keyasint,omitempty"` // Chosen are the hubs that a hub wants in its hall, for those that may not know them.
-		Limits        []limit.GossipEntry                 `cbor:"17,keyasint,omitempty"` // Limits are the limits of engines, and which of them have ended lately.
+		Limits        []limit.GossipEntry          `cbor:"17,keyasint,omitempty"` // Limits are the limits of engines, and which of them have ended lately.
 		Leaving       []discovery.Told             `cbor:"18,keyasint,omitempty"` // Leaving are engines that said in their answers that they leave.
 	}
 
