--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -24,8 +24,8 @@
 type (
 	// Source reads the clocks of the machine.
 	Source struct {
-		Steady func() time.Time            // Steady returns a time whose differences are of the steady clock.
-		Day    func(t time.Time) time.Time // Day returns the time of day at such a time.
+		Monotonic func() time.Time            // Steady returns a time whose differences are of the steady clock.
+		Wall    func(t time.Time) time.Time // Day returns the time of day at such a time.
 		Boot   func() time.Duration        // Boot returns the time since the machine's start, suspension included.
 	}
 
@@ -47,11 +47,11 @@
 )
 
 // machine is the clock of this process.
-var machine = New(Source{Steady: time.Now, Day: func(t time.Time) time.Time { return t.Round(0) }, Boot: bootTime})
+var machine = New(Source{Monotonic: time.Now, Wall: func(t time.Time) time.Time { return t.Round(0) }, Boot: bootTime})
 
 // New returns a clock.
 func New(s Source) *Clock {
-	c := &Clock{source: s, start: s.Steady(), hooks: map[int]Hook{}}
+	c := &Clock{source: s, start: s.Monotonic(), hooks: map[int]Hook{}}
 	c.ahead = s.Boot()
 	c.apart.Store(c.apartAt(c.start))
 	return c
@@ -78,21 +78,21 @@
 // Wall returns the time of day of a moment of this process's clock.
 func Wall(t time.Time) time.Time { return t.Add(-time.Duration(machine.away.Load())) }
 
-// OnAway has a hook called after each absence of this process; it returns what ends that.
-func OnAway(h Hook) (remove func()) { return machine.OnAway(h) }
+// OnResume has a hook called after each absence of this process; it returns what ends that.
+func OnResume(h Hook) (remove func()) { return machine.OnResume(h) }
 
 // Now returns the present time. Differences between two such times count suspension.
 func (c *Clock) Now() time.Time {
-	t := c.source.Steady()
+	t := c.source.Monotonic()
 	if moved := time.Duration(c.apartAt(t) - c.apart.Load()); moved.Abs() > drift {
 		c.compare()
-		t = c.source.Steady()
+		t = c.source.Monotonic()
 	}
 	return t.Add(time.Duration(c.away.Load()))
 }
 
-// OnAway has a hook called after each absence; it returns what ends that.
-func (c *Clock) OnAway(h Hook) (remove func()) {
+// OnResume has a hook called after each absence; it returns what ends that.
+func (c *Clock) OnResume(h Hook) (remove func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	id := c.next
@@ -110,7 +110,7 @@
 func (c *Clock) compare() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	t := c.source.Steady()
+	t := c.source.Monotonic()
 	ahead := c.source.Boot() - c.ahead - t.Sub(c.start)
 	before := time.Duration(c.away.Load())
 	if away := ahead - before; away >= leastAway {
@@ -125,5 +125,5 @@
 
 // apartAt returns how far the time of day is ahead of the steady clock since the start, in ns.
 func (c *Clock) apartAt(t time.Time) int64 {
-	return c.source.Day(t).UnixNano() - int64(t.Sub(c.start))
+	return c.source.Wall(t).UnixNano() - int64(t.Sub(c.start))
 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -25,7 +25,7 @@
 }
 
 func (h *hand) source() clock.Source {
-	return clock.Source{Steady: h.steadyTime, Day: h.day, Boot: h.bootTime}
+	return clock.Source{Monotonic: h.steadyTime, Wall: h.day, Boot: h.bootTime}
 }
 
 func (h *hand) steadyTime() time.Time {
@@ -69,7 +69,7 @@
 	c := clock.New(h.source())
 	var called []time.Duration
 	var told []time.Time
-	remove := c.OnAway(func(now time.Time, away time.Duration) { called, told = append(called, away), append(told, now) })
+	remove := c.OnResume(func(now time.Time, away time.Duration) { called, told = append(called, away), append(told, now) })
 	begin := c.Now()
 	for _, s := range []struct {
 		d, suspended, step time.Duration
--- a/internal/discovery/leaving.go
+++ b/internal/discovery/leaving.go
@@ -31,7 +31,7 @@
 	known.draining, known.saidAt = true, now
 	d.known[id] = known
 	d.said.Add(id)
-	d.said.Changed(id)
+	d.said.MarkChanged(id)
 	d.engines.Drain(id)
 }
 
--- a/internal/edge/crash_rig_test.go
+++ b/internal/edge/crash_rig_test.go
@@ -233,7 +233,7 @@
 	for _, e := range nodes {
 		for _, o := range nodes {
 			s := o.settings
-			e.gossip.Meet(now, gossip.Self{Name: s.Instance, Incarnation: o.startedAt.UnixMilli(), PeerAddress: s.PeerAddress, CallerAddress: s.CallerAddress, Hall: s.Hall})
+			e.gossip.AddPeer(now, gossip.NodeInfo{Name: s.Instance, Incarnation: o.startedAt.UnixMilli(), PeerAddress: s.PeerAddress, CallerAddress: s.CallerAddress, Hall: s.Hall})
 		}
 	}
 }
--- a/internal/edge/duties.go
+++ b/internal/edge/duties.go
@@ -51,12 +51,12 @@
 // Rank returns how many nodes should hold the duties before this one: hubs that can call the store, the largest first.
 func (n dutyNode) Rank(now time.Time) (rank int, ok bool) {
 	e := n.e
-	if e.settings.FirstStart && now.Sub(e.startedAt) < firstDuties || !e.register.Read() || !e.gossip.Hub() || e.dispatcher.Ready(now) == dispatch.Stopping || e.cantRead(now) {
+	if e.settings.FirstStart && now.Sub(e.startedAt) < firstDuties || !e.register.Joined() || !e.gossip.IsHub() || e.dispatcher.Ready(now) == dispatch.Stopping || e.cantRead(now) {
 		return 0, false
 	}
 	var others []candidate
 	for _, p := range e.gossip.Hubs(now) {
-		others = append(others, newCandidate(p.Name, p.Cores, p.Said.CantRead || p.Said.Stopping))
+		others = append(others, newCandidate(p.Name, p.Cores, p.State.CannotReadStore || p.State.Stopping))
 	}
 	rank = newCandidate(e.settings.Instance, cores(e.settings), false).rank(others)
 	return rank, rank < candidates
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -162,7 +162,7 @@
 // build makes all parts; nothing runs yet.
 func (e *Edge) build(now time.Time) error {
 	s := e.settings
-	self := gossip.Self{
+	self := gossip.NodeInfo{
 		Name: s.Instance, Incarnation: clock.Wall(now).UnixMilli(), PeerAddress: s.PeerAddress, CallerAddress: s.CallerAddress, Hall: s.Hall,
 		Cores: cores(s),
 	}
@@ -185,9 +185,9 @@
 	e.budget = retry.New(now, retryLimits(s), e.nodes)
 	e.egress = platform.NewEgress()
 	e.traffic = &peer.Traffic{}
-	e.calls = peer.NewClient(e.traffic, peer.WithSilence(feed.PullSilence))
+	e.calls = peer.NewClient(e.traffic, peer.WithIdleTimeout(feed.PullSilence))
 	e.discovery = discovery.New(platform.Engine, engines{e.placement, e.egress, e.limits}, ms(s.EngineDrainMs), e.log)
-	e.permits = limit.NewPermits(e.limits, e.calls, e.issuer, e.gossip.Reach, e.log)
+	e.permits = limit.NewPermits(e.limits, e.calls, e.issuer, e.gossip.ReachableShare, e.log)
 	e.dispatcher = dispatch.New(e.proof, e.placement, e.budget, e.egress, e.metrics, e.log, dispatch.WithProber(e.egress), dispatch.WithQuarantine(e.quarantine), dispatch.WithLeavers(e.discovery), dispatch.WithPermits(e.permits))
 	e.store = platform.NewStore(s.PlatformAddresses, platform.StoreTimeout)
 	e.register = register.New(now, e.store, self, slices.Collect(maps.Keys(s.HallRegions)), s.FirstStart, e.gossip, e.log)
@@ -224,7 +224,7 @@
 	}
 	config := &feed.Reader{Table: e.config, Source: e.store, Wait: configWait, Wanted: e.reads, Proven: e.proven, Lost: e.lost, Wake: e.wakeConfig, Log: e.log}
 	engines := &feed.Reader{Table: e.engines, Source: e.store, Wait: share(enginesWaitShare, s.EngineDrainMs), Wanted: e.reads, Proven: e.answered, Lost: e.lost, Wake: e.wakeEngines, Log: e.log}
-	e.stopClock = clock.OnAway(e.returned)
+	e.stopClock = clock.OnResume(e.returned)
 	e.start(func() { e.makeUp(ctx) })
 	e.start(e.peers.Serve)
 	e.start(func() { e.gossip.Run(ctx, e) })
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -190,13 +190,13 @@
 }
 
 // heardFrom returns a node that has just heard some peers.
-func heardFrom(t *testing.T, peers map[string]gossip.Said) *Edge {
+func heardFrom(t *testing.T, peers map[string]gossip.State) *Edge {
 	t.Helper()
 	return heardFromAt(t, newStore(t), peers)
 }
 
 // heardFromAt returns such a node with a store at an address.
-func heardFromAt(t *testing.T, store string, peers map[string]gossip.Said) *Edge {
+func heardFromAt(t *testing.T, store string, peers map[string]gossip.State) *Edge {
 	t.Helper()
 	e, err := Start(context.Background(), newSettings(t, "self", store), io.Discard)
 	if err != nil {
@@ -208,7 +208,7 @@
 		}
 	})
 	for name, said := range peers {
-		e.gossip.Introduce(time.Now(), gossip.Self{Name: name, Incarnation: 1, PeerAddress: "127.0.0.1:1", CallerAddress: "c-" + name, Hall: "h" + name[:1]}, said)
+		e.gossip.AddAlivePeer(time.Now(), gossip.NodeInfo{Name: name, Incarnation: 1, PeerAddress: "127.0.0.1:1", CallerAddress: "c-" + name, Hall: "h" + name[:1]}, said)
 	}
 	return e
 }
@@ -220,7 +220,7 @@
 	waitFor(t, func() bool { return e.dispatcher.Version() == 3 }, "no configuration")
 	future := time.Now().Add(time.Hour)
 	hear := func(version int, ageMs int64, received time.Time) time.Duration {
-		e.Heard(future, gossip.Self{Name: "p"}, gossip.Said{ConfigVersion: version, ProofAgeMs: ageMs, LostAgeMs: -1}, received)
+		e.HandlePeerState(future, gossip.NodeInfo{Name: "p"}, gossip.State{ConfigVersion: version, ProofAgeMs: ageMs, StoreFailureAgeMs: -1}, received)
 		age, _ := e.proof.Age(future)
 		return age
 	}
@@ -240,8 +240,8 @@
 
 // TestEntries holds which nodes callers are told to use.
 func TestEntries(t *testing.T) {
-	ready, stale, stopping := gossip.Said{Ready: true}, gossip.Said{}, gossip.Said{Stopping: true}
-	e := heardFrom(t, map[string]gossip.Said{"1-a": ready, "2-b": ready, "2-c": ready, "2-d": stale, "3-e": stopping})
+	ready, stale, stopping := gossip.State{Ready: true}, gossip.State{}, gossip.State{Stopping: true}
+	e := heardFrom(t, map[string]gossip.State{"1-a": ready, "2-b": ready, "2-c": ready, "2-d": stale, "3-e": stopping})
 	now := time.Now()
 	e.proven(now)
 	e.takeConfig(now, []feed.Row{{Key: "config", Value: []byte(configRow), Version: 9}})
@@ -253,7 +253,7 @@
 	}
 	late := now.Add(1100 * time.Millisecond)
 	e.proof.SetMaxAge(-time.Hour)
-	e = heardFrom(t, map[string]gossip.Said{"2-d": stale, "3-e": stopping})
+	e = heardFrom(t, map[string]gossip.State{"2-d": stale, "3-e": stopping})
 	e.proof.SetMaxAge(-time.Hour)
 	if got := e.Entries(late, "h2"); len(got) != 2 {
 		t.Errorf("where none is ready: %v, want those alive that do not stop", got)
@@ -286,8 +286,8 @@
 // TestNodesThatAreNotHeardShareTheRetries holds that a node which hears nobody does
 // not take the others' part of the retries for its own.
 func TestNodesThatAreNotHeardShareTheRetries(t *testing.T) {
-	e := heardFrom(t, map[string]gossip.Said{"1-a": {}, "2-b": {}})
-	waitFor(t, func() bool { return e.register.Read() }, "the register was not read")
+	e := heardFrom(t, map[string]gossip.State{"1-a": {}, "2-b": {}})
+	waitFor(t, func() bool { return e.register.Joined() }, "the register was not read")
 	if got := e.nodes(); got != 3 || len(e.gossip.Peers(time.Now().Add(time.Minute))) != 0 {
 		t.Errorf("%d nodes share, want 3", got)
 	}
@@ -328,7 +328,7 @@
 		t.Error("not ready after a pause that is no absence")
 	}
 	e.returned(back.Add(time.Second), 3*time.Second)
-	e.Heard(back, gossip.Self{Name: "p"}, gossip.Said{ConfigVersion: 3, ProofAgeMs: 0, LostAgeMs: -1}, back.Add(900*time.Millisecond))
+	e.HandlePeerState(back, gossip.NodeInfo{Name: "p"}, gossip.State{ConfigVersion: 3, ProofAgeMs: 0, StoreFailureAgeMs: -1}, back.Add(900*time.Millisecond))
 	if e.Ready(back.Add(time.Second)) || e.absences.Load() != 1 {
 		t.Errorf("ready after an absence without a proof; %d absences", e.absences.Load())
 	}
--- a/internal/edge/issuer.go
+++ b/internal/edge/issuer.go
@@ -29,8 +29,8 @@
 // issuer returns the node that issues the permits for an engine: the first of the hubs of the engine's hall, and of all hubs
 // where that hall has no nodes. Where it has some and none is heard, requests would not get there either.
 func (e *Edge) issuer(now time.Time, hall, engine string) (place limit.Place, ok bool) {
-	empty := !e.gossip.InHall(hall)
-	selfCounts := e.gossip.Hub() && e.dispatcher.Ready(now) != dispatch.Stopping && (empty || e.settings.Hall == hall)
-	p, self, ok := e.firstHub(now, engine, selfCounts, func(p gossip.Peer) bool { return !p.Said.Stopping && (empty || p.Hall == hall) })
+	empty := !e.gossip.KnowsHall(hall)
+	selfCounts := e.gossip.IsHub() && e.dispatcher.Ready(now) != dispatch.Stopping && (empty || e.settings.Hall == hall)
+	p, self, ok := e.firstHub(now, engine, selfCounts, func(p gossip.Peer) bool { return !p.State.Stopping && (empty || p.Hall == hall) })
 	return limit.Place{Self: self, Address: p.PeerAddress}, ok
 }
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -38,7 +38,7 @@
 		telemetry.Observed{Name: "croftturn.edge.active", Help: "requests being served", Read: func() int64 { return int64(e.dispatcher.Active()) }},
 		telemetry.Observed{Name: "croftturn.edge.engine_connections_opened", Help: "connections opened to engines", Read: func() int64 { return e.egress.Opened() }},
 		telemetry.Observed{Name: "croftturn.edge.log_lines_dropped", Help: "log lines dropped", Read: func() int64 { return e.lines.Dropped() }},
-		telemetry.Observed{Name: "croftturn.edge.nodes", Help: "nodes alive", Read: func() int64 { return int64(e.gossip.Nodes()) }},
+		telemetry.Observed{Name: "croftturn.edge.nodes", Help: "nodes alive", Read: func() int64 { return int64(e.gossip.AliveNodes()) }},
 		telemetry.Observed{Name: "croftturn.edge.config_age_ms", Help: "age of the proof that the configuration is the newest", Read: func() int64 { return e.proof.AgeMs(clock.Now()) }},
 		telemetry.Observed{Name: "croftturn.edge.entries_refused", Help: "changes of engines' entries that could not be understood", Read: func() int64 { return e.discovery.Refused() }},
 		telemetry.Observed{Name: "croftturn.edge.configs_refused", Help: "configurations that could not be understood", Read: func() int64 { return e.configsRefused.Load() }},
--- a/internal/edge/reading.go
+++ b/internal/edge/reading.go
@@ -107,10 +107,10 @@
 // awaitRegister waits, after the store's first answer, until this node knows the others: a
 // spoke does not read the engines, but takes them from its hubs.
 func (e *Edge) awaitRegister(ctx context.Context) {
-	for ctx.Err() == nil && !e.register.Read() && clock.Since(e.startedAt) <= probeAlone {
+	for ctx.Err() == nil && !e.register.Joined() && clock.Since(e.startedAt) <= probeAlone {
 		pause.For(ctx, probePoll)
 	}
-	e.gossip.Settle(clock.Now())
+	e.gossip.UpdateHubs(clock.Now())
 }
 
 // awaitAnswer waits until the store has answered since the start, or has not for so
@@ -134,7 +134,7 @@
 	switch {
 	case !ok:
 		return e.readsUnproven(now, self)
-	case !e.gossip.Hub():
+	case !e.gossip.IsHub():
 		return age > readMoreAfter*3/2 && e.spokeReads(now)
 	case age > readMoreAfter*3/2:
 		limit *= 4
@@ -152,8 +152,8 @@
 	}
 	others := make([]candidate, 0, len(hubs))
 	for _, p := range hubs {
-		silent := ms(int(p.Said.SilentMs)) > e.readSilence()
-		others = append(others, newCandidate(p.Name, p.Cores, p.Said.CantRead || silent))
+		silent := ms(int(p.State.StoreSilentMs)) > e.readSilence()
+		others = append(others, newCandidate(p.Name, p.Cores, p.State.CannotReadStore || silent))
 	}
 	return newCandidate(self, cores(e.settings), e.cantRead(now)).rank(others) < limit
 }
@@ -169,11 +169,11 @@
 	switch {
 	case e.settings.FirstStart && age < firstReads:
 		return false
-	case e.settings.FirstStart && !e.register.Read():
+	case e.settings.FirstStart && !e.register.Joined():
 		return drawn(self, age-registerWait)
-	case e.settings.FirstStart && e.gossip.Hub():
+	case e.settings.FirstStart && e.gossip.IsHub():
 		return e.among(now, self, readers<<min((age-firstReads)/widenEvery, 16))
-	case starts || e.gossip.Hub():
+	case starts || e.gossip.IsHub():
 		return true
 	}
 	return age > registerWait && e.spokeReads(now)
@@ -193,7 +193,7 @@
 func (e *Edge) spokeReads(now time.Time) bool {
 	turn := int64(now.Sub(e.startedAt) / spokesTurn)
 	lot := xxhash.Sum64String(e.settings.Instance + strconv.FormatInt(turn, 10))
-	nodes, _ := e.gossip.Count()
+	nodes, _ := e.gossip.TotalNodes()
 	return !e.cantRead(now) && lot%uint64(nodes) < spokesRead
 }
 
--- a/internal/edge/reading_test.go
+++ b/internal/edge/reading_test.go
@@ -17,9 +17,9 @@
 // TestFewNodesRead holds that of many nodes a few read the store's tables, that
 // those which can't are passed over, and that a node which hears nobody reads.
 func TestFewNodesRead(t *testing.T) {
-	peers := map[string]gossip.Said{}
+	peers := map[string]gossip.State{}
 	for i := range 9 {
-		peers[fmt.Sprintf("%d-n", i)] = gossip.Said{}
+		peers[fmt.Sprintf("%d-n", i)] = gossip.State{}
 	}
 	e := heardFrom(t, peers)
 	now := time.Now()
@@ -37,7 +37,7 @@
 		t.Error("a node that hears nobody does not read")
 	}
 	for name := range peers {
-		peers[name] = gossip.Said{CantRead: true, SilentMs: -1}
+		peers[name] = gossip.State{CannotReadStore: true, StoreSilentMs: -1}
 	}
 	e = heardFrom(t, peers)
 	e.proven(now)
@@ -54,12 +54,12 @@
 	now := time.Now()
 	for i := range 30 {
 		name := fmt.Sprint("n", i)
-		e.gossip.Introduce(now, gossip.Self{Name: name, Incarnation: 1, CallerAddress: "c-" + name, Hall: e.settings.Hall, Cores: 4}, gossip.Said{Ready: true, SilentMs: -1})
+		e.gossip.AddAlivePeer(now, gossip.NodeInfo{Name: name, Incarnation: 1, CallerAddress: "c-" + name, Hall: e.settings.Hall, Cores: 4}, gossip.State{Ready: true, StoreSilentMs: -1})
 	}
-	e.gossip.Settle(now)
+	e.gossip.UpdateHubs(now)
 	later := now.Add(time.Minute)
 	e.proven(later)
-	if e.gossip.Hub() || e.reads(later) {
+	if e.gossip.IsHub() || e.reads(later) {
 		t.Error("a small node among 30 large ones reads")
 	}
 	if got := e.Entries(now, e.settings.Hall); len(got) != 3 || slices.Contains(got, e.settings.CallerAddress) {
@@ -80,7 +80,7 @@
 }
 
 // keysOf returns the names of peers.
-func keysOf(peers map[string]gossip.Said) []string {
+func keysOf(peers map[string]gossip.State) []string {
 	var out []string
 	for name := range peers {
 		out = append(out, name)
@@ -92,9 +92,9 @@
 // answer for too long do not keep others from reading, and that this node leaves
 // reading to others when it has none.
 func TestSilentReadersArePassedOver(t *testing.T) {
-	peers := map[string]gossip.Said{}
+	peers := map[string]gossip.State{}
 	for i := range 9 {
-		peers[fmt.Sprintf("%d-n", i)] = gossip.Said{SilentMs: 1500}
+		peers[fmt.Sprintf("%d-n", i)] = gossip.State{StoreSilentMs: 1500}
 	}
 	e := heardFrom(t, peers)
 	now := time.Now()
@@ -102,10 +102,10 @@
 	if !e.reads(now) {
 		t.Error("a node does not read, though those that do have no answer")
 	}
-	peers = map[string]gossip.Said{}
+	peers = map[string]gossip.State{}
 	for i := 0; len(peers) < 9; i++ {
 		if name := fmt.Sprintf("%d-n", i); newCandidate("self", 1, false).before(newCandidate(name, 1, false)) {
-			peers[name] = gossip.Said{SilentMs: -1}
+			peers[name] = gossip.State{StoreSilentMs: -1}
 		}
 	}
 	mute := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -124,7 +124,7 @@
 	}
 	later := now.Add(1300 * time.Millisecond)
 	for name := range peers {
-		e.gossip.Introduce(later, gossip.Self{Name: name, Incarnation: 1}, peers[name]) // They are heard until then.
+		e.gossip.AddAlivePeer(later, gossip.NodeInfo{Name: name, Incarnation: 1}, peers[name]) // They are heard until then.
 	}
 	if e.watchSilence(later); !e.cantRead(later) || e.reads(later) {
 		t.Error("a node without answers goes on reading")
@@ -185,11 +185,11 @@
 	e := heardFrom(t, nil)
 	now := time.Now()
 	e.proven(now)
-	introduce := func(name string, cores float64, said gossip.Said) {
-		e.gossip.Introduce(now, gossip.Self{Name: name, Incarnation: 1, CallerAddress: "c-" + name, Hall: e.settings.Hall, Cores: cores}, said)
+	introduce := func(name string, cores float64, said gossip.State) {
+		e.gossip.AddAlivePeer(now, gossip.NodeInfo{Name: name, Incarnation: 1, CallerAddress: "c-" + name, Hall: e.settings.Hall, Cores: cores}, said)
 	}
 	for i := range 4 {
-		introduce(fmt.Sprint("small", i), 0.2, gossip.Said{SilentMs: -1})
+		introduce(fmt.Sprint("small", i), 0.2, gossip.State{StoreSilentMs: -1})
 	}
 	names := make([]string, 20)
 	for i := range names {
@@ -201,14 +201,14 @@
 		}
 	}
 	for i := range 2 {
-		introduce(fmt.Sprint("large", i), 4, gossip.Said{SilentMs: -1})
+		introduce(fmt.Sprint("large", i), 4, gossip.State{StoreSilentMs: -1})
 	}
 	for _, name := range names {
 		if e.readsAs(now, name) {
 			t.Errorf("%s with one core reads beside nodes with four", name)
 		}
 	}
-	introduce("large0", 4, gossip.Said{CantRead: true, SilentMs: -1})
+	introduce("large0", 4, gossip.State{CannotReadStore: true, StoreSilentMs: -1})
 	for _, name := range names {
 		if !e.readsAs(now, name) {
 			t.Errorf("%s does not read in the place of a larger node that can't", name)
--- a/internal/edge/state.go
+++ b/internal/edge/state.go
@@ -17,13 +17,13 @@
 func (e *Edge) Entries(now time.Time, hall string) []string {
 	var nodes []entry.Node
 	peers := e.gossip.Peers(now)
-	if e.dispatcher.Ready(now) != dispatch.Stopping && (e.gossip.Hub() || len(peers) == 0) {
+	if e.dispatcher.Ready(now) != dispatch.Stopping && (e.gossip.IsHub() || len(peers) == 0) {
 		nodes = append(nodes, entry.Node{
 			Name: e.settings.Instance, Address: e.settings.CallerAddress, Hall: e.settings.Hall, Ready: e.Ready(now), Cores: cores(e.settings), Rate: e.dispatcher.Rate(now),
 		})
 	}
 	for _, p := range peers {
-		if !p.Said.Stopping {
+		if !p.State.Stopping {
 			nodes = append(nodes, p.Entry())
 		}
 	}
--- a/internal/gossip/cadence.go
+++ b/internal/gossip/cadence.go
@@ -53,8 +53,8 @@
 	newsTurns = 3
 	allTurns  = 50
 
-	// NewsLife is how long what is new of such requests is told to those that hear the rarest messages.
-	NewsLife = (spokeTurns + newsTurns) * every
+	// UpdateLifetime is how long what is new of such requests is told to those that hear the rarest messages.
+	UpdateLifetime = (spokeTurns + newsTurns) * every
 
 	// busyRate is how many requests a second make a spoke tell its work; the platform's
 	// own checks reach each node about once a second.
@@ -113,7 +113,7 @@
 		return nearTurns
 	case far || !g.hub && !hub:
 		return 0
-	case g.hub && p.Said.busy(), hub && g.said.busy():
+	case g.hub && p.State.busy(), hub && g.said.busy():
 		return busyTurns
 	}
 	return spokeTurns
@@ -154,7 +154,7 @@
 
 // saidTo returns what is told to peers that get a message each so many turns, with the
 // prompt parts used since the last one. Spokes without work need not know of any.
-func (g *Gossip) saidTo(s Said, turn, turns int) Said {
+func (g *Gossip) saidTo(s State, turn, turns int) State {
 	s.Uses = nil
 	if turns == spokeTurns {
 		s.Loads = nil
@@ -167,10 +167,10 @@
 }
 
 // news reports whether what a node says should reach its peers at once: newer tables.
-func (s *Said) news(before Said) bool { return !maps.Equal(s.Versions, before.Versions) }
+func (s *State) news(before State) bool { return !maps.Equal(s.Versions, before.Versions) }
 
 // busy reports whether the node serves enough requests for its loads to matter.
-func (s *Said) busy() bool { return s.Rate >= busyRate }
+func (s *State) busy() bool { return s.Rate >= busyRate }
 
 // latest returns the later of two moments.
 func latest(a, b time.Time) time.Time {
--- a/internal/gossip/cadence_test.go
+++ b/internal/gossip/cadence_test.go
@@ -17,18 +17,18 @@
 // halls, half of them in each; every third is busy, and the first four are hubs.
 func newTestGossip(t *testing.T, now time.Time, peers int) *Gossip {
 	t.Helper()
-	g := newGossip(Self{Name: "self", PeerAddress: "127.0.0.1:0", Hall: "h0"}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	g := newGossip(NodeInfo{Name: "self", PeerAddress: "127.0.0.1:0", Hall: "h0"}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	g.hubs = map[string]bool{}
 	for i := range peers {
-		s := Self{Name: fmt.Sprint("p", i), Incarnation: 1, PeerAddress: "127.0.0.1:9", Hall: fmt.Sprint("h", i%2)}
-		g.Meet(now, s)
+		s := NodeInfo{Name: fmt.Sprint("p", i), Incarnation: 1, PeerAddress: "127.0.0.1:9", Hall: fmt.Sprint("h", i%2)}
+		g.AddPeer(now, s)
 		p := g.peers[s.Name]
 		p.heard = now
 		if g.hubs[s.Name] = i < 4; i < 4 {
 			p.hubs = []string{"p0"}
 		}
 		if i%3 == 0 {
-			p.Said.Rate = 2 * busyRate
+			p.State.Rate = 2 * busyRate
 		}
 	}
 	return g
@@ -40,7 +40,7 @@
 func TestWhoIsToldHowOften(t *testing.T) {
 	now := time.Unix(1000, 0)
 	const turns = 10 * spokeTurns
-	count := func(hub bool, said Said) map[string]int {
+	count := func(hub bool, said State) map[string]int {
 		g := newTestGossip(t, now, 30)
 		g.hub = hub
 		g.told(said)
@@ -53,7 +53,7 @@
 		}
 		return got
 	}
-	hub, spoke, busy := count(true, Said{Rate: 2 * busyRate}), count(false, Said{}), count(false, Said{Rate: 2 * busyRate})
+	hub, spoke, busy := count(true, State{Rate: 2 * busyRate}), count(false, State{}), count(false, State{Rate: 2 * busyRate})
 	want := map[string]struct{ hub, spoke, busy int }{
 		"p2": {turns / nearTurns, turns / spokeTurns, turns / busyTurns}, // near hub
 		"p3": {turns / farTurns, 0, 0},                                   // far hub
@@ -106,7 +106,7 @@
 	for turn := range newest + 1 {
 		g.uses[turn%len(g.uses)] = []placement.Use{{Part: uint64(turn)}}
 	}
-	said := Said{Rate: 9, Loads: map[string]placement.Load{"e": {InFlight: 1}}}
+	said := State{Rate: 9, Loads: map[string]placement.Load{"e": {InFlight: 1}}}
 	for _, turns := range []int{nearTurns, farTurns, busyTurns} {
 		got := g.saidTo(said, newest, turns)
 		if len(got.Uses) != turns || got.Uses[0].Part != newest || got.Uses[turns-1].Part != uint64(newest+1-turns) || len(got.Loads) != 1 {
@@ -122,10 +122,10 @@
 }
 
 // scripted is a node that says what a test sets.
-type scripted struct{ said Said }
+type scripted struct{ said State }
 
-func (s *scripted) Say(time.Time) Said                     { return s.said }
-func (s *scripted) Heard(time.Time, Self, Said, time.Time) {}
+func (s *scripted) LocalState(time.Time) State                            { return s.said }
+func (s *scripted) HandlePeerState(time.Time, NodeInfo, State, time.Time) {}
 
 // TestUsesOfBeforeAChangeOfEnginesAreNotTold holds that prompt parts which were given to engines before this
 // node took newer entries are not told with the newer version: they may be of a former incarnation.
@@ -136,7 +136,7 @@
 	g.node = node
 	use := func(part uint64) []placement.Use { return []placement.Use{{Engine: "e", Part: part}} }
 	compose := func(turn int, version int64, part uint64) []placement.Use {
-		node.said = Said{Versions: map[string]int64{"servers": version}, Uses: use(part)}
+		node.said = State{Versions: map[string]int64{"servers": version}, Uses: use(part)}
 		g.compose(func() time.Time { return now }, turn)
 		return g.saidTo(node.said, turn, usesKept).Uses
 	}
@@ -164,13 +164,13 @@
 		for _, p := range g.peers {
 			p.heard = now
 		}
-		node.said = Said{Crashing: []quarantine.Told{{Fingerprint: 1, Age: now.Sub(start)}, {Fingerprint: 2, Age: time.Hour}}}
-		if turn*int(every) > int(NewsLife) {
+		node.said = State{Crashing: []quarantine.Told{{Fingerprint: 1, Age: now.Sub(start)}, {Fingerprint: 2, Age: time.Hour}}}
+		if turn*int(every) > int(UpdateLifetime) {
 			node.said.Crashing = node.said.Crashing[1:]
 		}
 		for _, o := range g.compose(func() time.Time { return now }, turn) {
-			var said Said
-			if err := cbor.Unmarshal(o.Said, &said); err != nil {
+			var said State
+			if err := cbor.Unmarshal(o.State, &said); err != nil {
 				t.Fatal(err)
 			}
 			for _, told := range said.Crashing {
--- a/internal/gossip/count.go
+++ b/internal/gossip/count.go
@@ -5,15 +5,15 @@
 // reachLife is for how long a node that is heard no more counts as one that may be there.
 const reachLife = 30 * time.Second
 
-// Reach returns which part of the nodes that were heard within reachLife is alive as far as this node knows, this one among
+// ReachableShare returns which part of the nodes that were heard within reachLife is alive as far as this node knows, this one among
 // them. It is the part that a side of a cut has; nodes that stop as planned don't count.
-func (g *Gossip) Reach(now time.Time) float64 {
+func (g *Gossip) ReachableShare(now time.Time) float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	alive, all := 1, 1
 	for _, p := range g.peers {
 		switch {
-		case p.heard.IsZero() || p.Said.Stopping:
+		case p.heard.IsZero() || p.State.Stopping:
 		case g.heardLately(now, p):
 			alive++
 			all++
@@ -24,17 +24,17 @@
 	return float64(alive) / float64(all)
 }
 
-// InHall reports whether any node of a hall is known, heard lately or not.
-func (g *Gossip) InHall(hall string) bool {
+// KnowsHall reports whether any node of a hall is known, heard lately or not.
+func (g *Gossip) KnowsHall(hall string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.halls()[hall]
 }
 
-// Count returns how many nodes there are, this one among them, heard lately or not. A hub knows the nodes of its own hall,
+// TotalNodes returns how many nodes there are, this one among them, heard lately or not. A hub knows the nodes of its own hall,
 // and the hubs of other halls tell it of theirs; a spoke is told by its hubs. sure says that the nodes of all halls are
 // counted.
-func (g *Gossip) Count() (nodes int, sure bool) {
+func (g *Gossip) TotalNodes() (nodes int, sure bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	nodes = g.count().All
@@ -42,8 +42,8 @@
 		return nodes, true
 	}
 	for _, p := range g.peers {
-		if p.Said.Nodes.All > 0 {
-			nodes, sure = max(nodes, p.Said.Nodes.All), true
+		if p.State.Nodes.All > 0 {
+			nodes, sure = max(nodes, p.State.Nodes.All), true
 		}
 	}
 	return nodes, sure
@@ -55,7 +55,7 @@
 	known, told := map[string]int{g.self.Hall: 1}, map[string]int{}
 	for _, p := range g.peers {
 		known[p.Hall]++
-		told[p.Hall] = max(told[p.Hall], p.Said.Nodes.Hall)
+		told[p.Hall] = max(told[p.Hall], p.State.Nodes.Hall)
 	}
 	c := NodeCount{Hall: known[g.self.Hall]}
 	for hall, n := range known {
--- a/internal/gossip/export_test.go
+++ b/internal/gossip/export_test.go
@@ -28,7 +28,7 @@
 func (n Network) Node(name string) *Gossip { return n.nodes[name].Gossip }
 
 // Self returns what a node says of itself.
-func (n Network) Self(name string) Self { return n.nodes[name].self }
+func (n Network) Self(name string) NodeInfo { return n.nodes[name].self }
 
 // Now returns the simulated time.
 func (n Network) Now() time.Time { return n.now }
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -37,25 +37,25 @@
 type (
 	// Node is the node that gossips.
 	Node interface {
-		// Say returns what the peers are told.
-		Say(now time.Time) Said
+		// LocalState returns what the peers are told.
+		LocalState(now time.Time) State
 
-		// Heard takes what a peer said, after it had received what this node sent
+		// HandlePeerState takes what a peer said, after it had received what this node sent
 		// at a moment; that is zero where it has received nothing yet.
-		Heard(now time.Time, p Self, s Said, received time.Time)
+		HandlePeerState(now time.Time, p NodeInfo, s State, received time.Time)
 	}
 
 	// Gossip talks to the peers.
 	Gossip struct {
-		self Self
+		self NodeInfo
 		node Node
 		log  *slog.Logger
 		conn *net.UDPConn
 
 		mu     sync.Mutex
 		peers  map[string]*Peer
-		said   Said // said is what this node told last.
-		urgent bool // urgent says that it has newer tables, or chose other hubs, than it told before.
+		said   State // said is what this node told last.
+		urgent bool  // urgent says that it has newer tables, or chose other hubs, than it told before.
 		seq    uint32
 		sent   [remembered]time.Time     // sent holds when the newest messages were sent, by number.
 		uses   [usesKept][]placement.Use // uses holds the prompt parts told in the newest turns, by turn; only send has it.
@@ -72,7 +72,7 @@
 )
 
 // New returns a gossip on the self's peer address. Run begins it.
-func New(self Self, log *slog.Logger) (*Gossip, error) {
+func New(self NodeInfo, log *slog.Logger) (*Gossip, error) {
 	addr, err := net.ResolveUDPAddr("udp4", self.PeerAddress)
 	if err != nil {
 		return nil, fmt.Errorf("peer address: %w", err)
@@ -87,12 +87,12 @@
 }
 
 // newGossip returns a gossip that is not connected.
-func newGossip(self Self, log *slog.Logger) *Gossip {
+func newGossip(self NodeInfo, log *slog.Logger) *Gossip {
 	return &Gossip{self: self, log: log, peers: map[string]*Peer{}, hubHeard: map[string]time.Time{}, unheardSince: map[string]time.Time{}, promoted: make(chan struct{}, 1), seq: 1 + rand.Uint32N(firstSeqs)}
 }
 
-// Meet adds a peer that was learned of elsewhere, such as from the platform.
-func (g *Gossip) Meet(now time.Time, s Self) {
+// AddPeer adds a peer that was learned of elsewhere, such as from the platform.
+func (g *Gossip) AddPeer(now time.Time, s NodeInfo) {
 	if s.Name == g.self.Name {
 		return
 	}
@@ -107,14 +107,14 @@
 	if known != nil && known.Incarnation >= s.Incarnation {
 		return
 	}
-	g.peers[s.Name] = &Peer{Self: s, addr: net.UDPAddrFromAddrPort(at), met: now}
+	g.peers[s.Name] = &Peer{NodeInfo: s, addr: net.UDPAddrFromAddrPort(at), met: now}
 }
 
-// Introduce takes a peer as if it had just said something.
-func (g *Gossip) Introduce(now time.Time, s Self, said Said) {
+// AddAlivePeer takes a peer as if it had just said something.
+func (g *Gossip) AddAlivePeer(now time.Time, s NodeInfo, said State) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.peers[s.Name] = &Peer{Self: s, Said: said, heard: now, met: now}
+	g.peers[s.Name] = &Peer{NodeInfo: s, State: said, heard: now, met: now}
 }
 
 // Peers returns the peers that are alive.
@@ -130,8 +130,8 @@
 	return out
 }
 
-// Lonely reports whether this node, where it is a spoke, hears no hub, and else whether it hears nobody.
-func (g *Gossip) Lonely(now time.Time) bool {
+// Isolated reports whether this node, where it is a spoke, hears no hub, and else whether it hears nobody.
+func (g *Gossip) Isolated(now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, p := range g.peers {
@@ -142,9 +142,9 @@
 	return true
 }
 
-// Unheard returns how many peers that may serve callers have said nothing since this node started: all,
+// UnheardPeers returns how many peers that may serve callers have said nothing since this node started: all,
 // until one was heard, and then the hubs alone.
-func (g *Gossip) Unheard() int {
+func (g *Gossip) UnheardPeers() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	unheard, hubs := 0, 0
@@ -163,8 +163,8 @@
 	return hubs
 }
 
-// Nodes returns how many nodes are alive, this one among them.
-func (g *Gossip) Nodes() int { return len(g.Peers(clock.Now())) + 1 }
+// AliveNodes returns how many nodes are alive, this one among them.
+func (g *Gossip) AliveNodes() int { return len(g.Peers(clock.Now())) + 1 }
 
 // Run sends and receives for a node until the context ends.
 func (g *Gossip) Run(ctx context.Context, node Node) {
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -15,17 +15,17 @@
 
 // node says what it is told to say and keeps what it hears.
 type node struct {
-	say gossip.Said
+	say gossip.State
 
 	mu       sync.Mutex
-	heard    []gossip.Said
+	heard    []gossip.State
 	received []time.Time
 	changed  chan struct{}
 }
 
-func (n *node) Say(time.Time) gossip.Said { return n.say }
+func (n *node) LocalState(time.Time) gossip.State { return n.say }
 
-func (n *node) Heard(_ time.Time, _ gossip.Self, s gossip.Said, received time.Time) {
+func (n *node) HandlePeerState(_ time.Time, _ gossip.NodeInfo, s gossip.State, received time.Time) {
 	n.mu.Lock()
 	n.heard = append(n.heard, s)
 	n.received = append(n.received, received)
@@ -49,7 +49,7 @@
 // run starts a gossip and stops it at the end of the test.
 func run(t *testing.T, name, address string, n gossip.Node) (*gossip.Gossip, func()) {
 	t.Helper()
-	self := gossip.Self{Name: name, Incarnation: 7, PeerAddress: address, CallerAddress: "c-" + name, Hall: "h"}
+	self := gossip.NodeInfo{Name: name, Incarnation: 7, PeerAddress: address, CallerAddress: "c-" + name, Hall: "h"}
 	g, err := gossip.New(self, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
@@ -71,15 +71,15 @@
 // the sending and now, and that a silent peer no longer counts as alive.
 func TestNodesHearEachOther(t *testing.T) {
 	a := &node{changed: make(chan struct{}, 1)}
-	b := &node{changed: make(chan struct{}, 1), say: gossip.Said{
-		Ready: true, ConfigVersion: 3, ProofAgeMs: 12, LostAgeMs: -1, Versions: map[string]int64{"t": 9},
+	b := &node{changed: make(chan struct{}, 1), say: gossip.State{
+		Ready: true, ConfigVersion: 3, ProofAgeMs: 12, StoreFailureAgeMs: -1, Versions: map[string]int64{"t": 9},
 		Loads: map[string]placement.Load{"e": {Unread: 1, InFlight: 2, Streams: 3}}, Uses: []placement.Use{{Engine: "e", Part: 5}},
 	}}
 	begin := time.Now()
 	addressA, addressB := freeAddress(t), freeAddress(t)
 	ga, _ := run(t, "a", addressA, a)
 	_, stopB := run(t, "b", addressB, b)
-	ga.Meet(begin, gossip.Self{Name: "b", PeerAddress: addressB})
+	ga.AddPeer(begin, gossip.NodeInfo{Name: "b", PeerAddress: addressB})
 	deadline := time.After(5 * time.Second)
 	for received := (time.Time{}); received.IsZero(); {
 		select {
@@ -99,7 +99,7 @@
 		}
 	}
 	peers := ga.Peers(time.Now())
-	if len(peers) != 1 || peers[0].CallerAddress != "c-b" || ga.Nodes() != 2 {
+	if len(peers) != 1 || peers[0].CallerAddress != "c-b" || ga.AliveNodes() != 2 {
 		t.Errorf("peers %+v", peers)
 	}
 	stopB()
@@ -112,10 +112,10 @@
 // process does that freezes there.
 type slow struct{ node }
 
-func (s *slow) Say(time.Time) gossip.Said {
+func (s *slow) LocalState(time.Time) gossip.State {
 	at := time.Now()
 	time.Sleep(150 * time.Millisecond) // It stands still meanwhile.
-	return gossip.Said{Versions: map[string]int64{"at": at.UnixNano()}}
+	return gossip.State{Versions: map[string]int64{"at": at.UnixNano()}}
 }
 
 // TestWhatIsSaidIsNotOlderThanItSeems holds that what a peer says was worked out
@@ -127,7 +127,7 @@
 	addressA, addressB := freeAddress(t), freeAddress(t)
 	ga, _ := run(t, "a", addressA, a)
 	run(t, "b", addressB, b)
-	ga.Meet(time.Now(), gossip.Self{Name: "b", PeerAddress: addressB})
+	ga.AddPeer(time.Now(), gossip.NodeInfo{Name: "b", PeerAddress: addressB})
 	deadline := time.After(10 * time.Second)
 	for seen := 0; seen < 8; {
 		select {
--- a/internal/gossip/hubs.go
+++ b/internal/gossip/hubs.go
@@ -45,15 +45,15 @@
 		return false
 	}
 	for _, p := range g.peers {
-		if p.Said.Nodes.All > manyPeers+1 {
+		if p.State.Nodes.All > manyPeers+1 {
 			return false
 		}
 	}
 	return true
 }
 
-// Hub reports whether this node is a hub.
-func (g *Gossip) Hub() bool {
+// IsHub reports whether this node is a hub.
+func (g *Gossip) IsHub() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.few() || g.hub
@@ -72,9 +72,9 @@
 	return out
 }
 
-// Settle works out which nodes are hubs, this one among them or not. Each turn does so; it may
+// UpdateHubs works out which nodes are hubs, this one among them or not. Each turn does so; it may
 // be called between, as where many nodes have just become known.
-func (g *Gossip) Settle(now time.Time) {
+func (g *Gossip) UpdateHubs(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.few() {
@@ -210,11 +210,11 @@
 func (g *Gossip) chooseHubs(now time.Time) []string {
 	var ready, all []entry.Node
 	add := func(p *Peer) {
-		if p.Said.Stopping {
+		if p.State.Stopping {
 			return
 		}
 		all = append(all, p.Entry())
-		if p.Said.Ready {
+		if p.State.Ready {
 			ready = append(ready, p.Entry())
 		}
 	}
@@ -231,33 +231,33 @@
 }
 
 // knownChosen returns how others reach the hubs that this node wants in its hall.
-func (g *Gossip) knownChosen() []Known {
+func (g *Gossip) knownChosen() []HubInfo {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	var out []Known
+	var out []HubInfo
 	for _, name := range g.chosen {
 		self := g.self
 		if p := g.peers[name]; p != nil {
-			self = p.Self
+			self = p.NodeInfo
 		}
-		out = append(out, Known{Name: self.Name, Incarnation: self.Incarnation, PeerAddress: self.PeerAddress, CallerAddress: self.CallerAddress, Cores: self.Cores})
+		out = append(out, HubInfo{Name: self.Name, Incarnation: self.Incarnation, PeerAddress: self.PeerAddress, CallerAddress: self.CallerAddress, Cores: self.Cores})
 	}
 	return out
 }
 
 // meetChosen takes the hubs that a hub of a hall wants there.
-func (g *Gossip) meetChosen(now time.Time, hall string, chosen []Known) {
+func (g *Gossip) meetChosen(now time.Time, hall string, chosen []HubInfo) {
 	for _, k := range chosen {
-		g.Meet(now, Self{Name: k.Name, Incarnation: k.Incarnation, PeerAddress: k.PeerAddress, CallerAddress: k.CallerAddress, Hall: hall, Cores: k.Cores})
+		g.AddPeer(now, NodeInfo{Name: k.Name, Incarnation: k.Incarnation, PeerAddress: k.PeerAddress, CallerAddress: k.CallerAddress, Hall: hall, Cores: k.Cores})
 	}
 }
 
 // own returns this node as its peers know it.
-func (g *Gossip) own() *Peer { return &Peer{Self: g.self, Said: g.said} }
+func (g *Gossip) own() *Peer { return &Peer{NodeInfo: g.self, State: g.said} }
 
 // Entry returns the peer as a node that may take callers.
 func (p *Peer) Entry() entry.Node {
-	return entry.Node{Name: p.Name, Address: p.CallerAddress, Hall: p.Hall, Ready: p.Said.Ready, Cores: p.Cores, Rate: float64(p.Said.Rate)}
+	return entry.Node{Name: p.Name, Address: p.CallerAddress, Hall: p.Hall, Ready: p.State.Ready, Cores: p.Cores, Rate: float64(p.State.Rate)}
 }
 
 // names returns the names of nodes.
--- a/internal/gossip/hubs_test.go
+++ b/internal/gossip/hubs_test.go
@@ -20,7 +20,7 @@
 // simulated is a node whose gossip runs in simulated time; it says what it is told to say.
 type simulated struct {
 	*Gossip
-	say   Said
+	say   State
 	dead  bool
 	next  int // next is the turn in which it sends.
 	turn  int // turn counts its own turns.
@@ -28,9 +28,9 @@
 	bytes int
 }
 
-func (s *simulated) Say(time.Time) Said { return s.say }
+func (s *simulated) LocalState(time.Time) State { return s.say }
 
-func (s *simulated) Heard(time.Time, Self, Said, time.Time) {}
+func (s *simulated) HandlePeerState(time.Time, NodeInfo, State, time.Time) {}
 
 // network carries the messages of simulated nodes and loses some of them.
 type network struct {
@@ -50,10 +50,10 @@
 	t.Helper()
 	n := &network{t: t, now: time.Unix(1000, 0), loss: loss, seed: seed, nodes: map[string]*simulated{}}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	var selves []Self
+	var selves []NodeInfo
 	for h := range halls {
 		for i := range each {
-			s := Self{Name: fmt.Sprintf("n%d-%d", h, i), Incarnation: 1, PeerAddress: fmt.Sprintf("127.0.%d.%d:9", h, i), CallerAddress: fmt.Sprintf("127.0.%d.%d:8", h, i), Hall: fmt.Sprint("h", h), Cores: 0.2}
+			s := NodeInfo{Name: fmt.Sprintf("n%d-%d", h, i), Incarnation: 1, PeerAddress: fmt.Sprintf("127.0.%d.%d:9", h, i), CallerAddress: fmt.Sprintf("127.0.%d.%d:8", h, i), Hall: fmt.Sprint("h", h), Cores: 0.2}
 			if i < 3 {
 				s.Cores = 0.8
 			}
@@ -61,10 +61,10 @@
 		}
 	}
 	for _, s := range selves {
-		node := &simulated{Gossip: newGossip(s, log), say: Said{Ready: true, SilentMs: -1, LostAgeMs: -1, ProofAgeMs: 5, Versions: map[string]int64{"a": 1}}}
+		node := &simulated{Gossip: newGossip(s, log), say: State{Ready: true, StoreSilentMs: -1, StoreFailureAgeMs: -1, ProofAgeMs: 5, Versions: map[string]int64{"a": 1}}}
 		node.node = node
 		for _, other := range selves {
-			node.Meet(n.now, other)
+			node.AddPeer(n.now, other)
 		}
 		n.nodes[s.Name] = node
 		n.order = append(n.order, s.Name)
@@ -137,7 +137,7 @@
 func (n *network) hubs(hall string) []string {
 	var out []string
 	for _, name := range n.order {
-		if node := n.nodes[name]; !node.dead && node.self.Hall == hall && node.Hub() {
+		if node := n.nodes[name]; !node.dead && node.self.Hall == hall && node.IsHub() {
 			out = append(out, name)
 		}
 	}
@@ -155,7 +155,7 @@
 		}
 		for _, name := range n.order {
 			node := n.nodes[name]
-			if node.dead || node.self.Hall != hall && !node.Hub() {
+			if node.dead || node.self.Hall != hall && !node.IsHub() {
 				continue
 			}
 			var got []string
@@ -164,7 +164,7 @@
 					got = append(got, p.Name)
 				}
 			}
-			if node.self.Hall == hall && node.Hub() {
+			if node.self.Hall == hall && node.IsHub() {
 				got = append(got, name)
 			}
 			slices.Sort(got)
@@ -186,7 +186,7 @@
 	n.agreeWithin(halls, 3500*time.Millisecond) // A spoke's message that is lost is followed a second later.
 	for _, node := range n.nodes {
 		node.sent, node.bytes = 0, 0
-		if node.Hub() {
+		if node.IsHub() {
 			node.say.Rate = 60
 			node.say.Loads = map[string]placement.Load{}
 			for i := range 25 {
@@ -199,7 +199,7 @@
 	hubs, sent, hubBytes, spokeBytes := 0, 0, 0, 0
 	for name, node := range n.nodes {
 		sent += node.sent
-		if node.Hub() {
+		if node.IsHub() {
 			hubs++
 			hubBytes += node.bytes
 			continue
@@ -218,7 +218,7 @@
 	n.run(2 * every)
 	late := 0
 	for _, node := range n.nodes {
-		if p := node.peers[first]; node.self.Hall == "h0" && node.self.Name != first && p.Said.Versions["a"] != 2 {
+		if p := node.peers[first]; node.self.Hall == "h0" && node.self.Name != first && p.State.Versions["a"] != 2 {
 			late++
 		}
 	}
@@ -286,15 +286,15 @@
 	n.run(4 * time.Second)
 	for i := 5; i < 15; i++ {
 		old := n.nodes[fmt.Sprint("n0-", i)]
-		if old.Hub() {
+		if old.IsHub() {
 			continue
 		}
 		self := old.self
 		self.Incarnation++
-		fresh := &simulated{Gossip: newGossip(self, old.log), say: Said{Ready: true, SilentMs: -1, LostAgeMs: -1}}
+		fresh := &simulated{Gossip: newGossip(self, old.log), say: State{Ready: true, StoreSilentMs: -1, StoreFailureAgeMs: -1}}
 		fresh.node = fresh
 		for _, name := range n.order {
-			fresh.Meet(n.now, n.nodes[name].self)
+			fresh.AddPeer(n.now, n.nodes[name].self)
 		}
 		n.nodes[self.Name] = fresh
 		n.run(3 * every)
--- a/internal/gossip/message_test.go
+++ b/internal/gossip/message_test.go
@@ -32,7 +32,7 @@
 			Newer  []string                 `cbor:"99,keyasint"`
 		}
 	)
-	said := gossip.Said{Ready: true, Rate: 3, ProofAgeMs: -1, Places: map[string][]dispatch.Places{"p": {{Tier: 2, Asked: 7, Lacked: 1, Late: 2, Reading: 900}}}}
+	said := gossip.State{Ready: true, Rate: 3, ProofAgeMs: -1, Places: map[string][]dispatch.Places{"p": {{Tier: 2, Asked: 7, Lacked: 1, Late: 2, Reading: 900}}}}
 
 	var old older
 	translate(t, said, &old)
@@ -40,13 +40,13 @@
 		t.Errorf("the older release understands %+v", old)
 	}
 
-	var got gossip.Said
+	var got gossip.State
 	translate(t, newer{Ready: true, Places: map[string][]newerPlaces{"p": {{Places: said.Places["p"][0], Newer: 1}}}, Newer: []string{"x"}}, &got)
 	if !got.Ready || len(got.Places["p"]) != 1 || got.Places["p"][0] != said.Places["p"][0] {
 		t.Errorf("of the newer release is understood %+v", got)
 	}
 
-	var same gossip.Said
+	var same gossip.State
 	translate(t, said, &same)
 	if same.ProofAgeMs != -1 || same.Places["p"][0] != said.Places["p"][0] {
 		t.Errorf("the same release understands %+v", same)
--- a/internal/gossip/receive.go
+++ b/internal/gossip/receive.go
@@ -40,14 +40,14 @@
 	if m.Name == g.self.Name {
 		return
 	}
-	var said Said
-	if err := cbor.Unmarshal(m.Said, &said); err != nil {
+	var said State
+	if err := cbor.Unmarshal(m.State, &said); err != nil {
 		g.log.Warn("message from peer not understood", "peer", m.Name, "error", err.Error())
 		return
 	}
 	if self, received, ok := g.believe(now, m, said, from); ok {
-		g.meetChosen(now, self.Hall, said.Chosen)
-		g.node.Heard(now, self, said, received)
+		g.meetChosen(now, self.Hall, said.ChosenHubs)
+		g.node.HandlePeerState(now, self, said, received)
 	}
 }
 
@@ -56,20 +56,20 @@
 // have been set back between two starts. It returns who the peer is, and when this
 // node sent the message that the peer answers; ok is false where the message says
 // nothing new.
-func (g *Gossip) believe(now time.Time, m message, said Said, from *net.UDPAddr) (self Self, received time.Time, ok bool) {
-	self = Self{Name: m.Name, Incarnation: m.Incarnation, PeerAddress: m.Peer, CallerAddress: m.Caller, Hall: m.Hall, Cores: m.Cores}
+func (g *Gossip) believe(now time.Time, m message, said State, from *net.UDPAddr) (self NodeInfo, received time.Time, ok bool) {
+	self = NodeInfo{Name: m.Name, Incarnation: m.Incarnation, PeerAddress: m.Peer, CallerAddress: m.Caller, Hall: m.Hall, Cores: m.Cores}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	p := g.peers[m.Name]
 	if p != nil && p.Incarnation > m.Incarnation && g.heardLately(now, p) {
-		return Self{}, time.Time{}, false
+		return NodeInfo{}, time.Time{}, false
 	}
 	same := p != nil && p.Incarnation == m.Incarnation
 	switch {
 	case m.Peer == "" && !same:
-		return Self{}, time.Time{}, false // Who it is comes with one of its next messages.
+		return NodeInfo{}, time.Time{}, false // Who it is comes with one of its next messages.
 	case m.Peer == "":
-		self = p.Self
+		self = p.NodeInfo
 	}
 	if !same || !g.heardLately(now, p) {
 		g.log.Info("peer heard", "peer", m.Name, "incarnation", m.Incarnation, "address", m.Peer, "ready", said.Ready)
@@ -85,12 +85,12 @@
 		p.sent = 0 // It is told all that it has missed.
 	}
 	if same && m.Seq < p.echo {
-		return Self{}, time.Time{}, false // It was overtaken by a newer one.
+		return NodeInfo{}, time.Time{}, false // It was overtaken by a newer one.
 	}
 	if !g.hub && slices.Contains(m.Hubs, g.self.Name) {
 		g.wake()
 	}
-	p.Self, p.Said, p.hubs, p.heard, p.addr, p.echo, p.got = self, said, m.Hubs, now, from, m.Seq, m.Echo
+	p.NodeInfo, p.State, p.hubs, p.heard, p.addr, p.echo, p.got = self, said, m.Hubs, now, from, m.Seq, m.Echo
 	return self, g.sentAt(m.Echo), true
 }
 
--- a/internal/gossip/send.go
+++ b/internal/gossip/send.go
@@ -46,10 +46,10 @@
 // that it answers, so that it must not be older.
 func (g *Gossip) compose(clock func() time.Time, turn int) []outgoing {
 	before := clock()
-	g.Settle(before)
+	g.UpdateHubs(before)
 	targets := g.targets(before, turn)
 	now := clock()
-	said := g.node.Say(now)
+	said := g.node.LocalState(now)
 	said.Nodes = g.tellCount()
 	chosen := g.told(said)
 	g.uses[turn%len(g.uses)] = said.Uses
@@ -67,7 +67,7 @@
 			s.Limits = told(of, said.Limits, func(t limit.Told) time.Duration { return t.Age })
 			s.Leaving = told(of, said.Leaving, func(t discovery.Told) time.Duration { return t.Age })
 			if of.chosen {
-				s.Chosen = g.knownChosen()
+				s.ChosenHubs = g.knownChosen()
 			}
 			raw, err := cbor.Marshal(s)
 			if err != nil {
@@ -76,7 +76,7 @@
 			}
 			encoded[of] = raw
 		}
-		m := message{Echo: to.echo, Seq: seq, Name: g.self.Name, Incarnation: g.self.Incarnation, Hubs: chosen, Said: encoded[of]}
+		m := message{Echo: to.echo, Seq: seq, Name: g.self.Name, Incarnation: g.self.Incarnation, Hubs: chosen, State: encoded[of]}
 		if to.echo == 0 || to.sent%introduceEvery == 0 {
 			m.Peer, m.Caller, m.Hall, m.Cores = g.self.PeerAddress, g.self.CallerAddress, g.self.Hall, g.self.Cores
 		}
@@ -108,7 +108,7 @@
 
 // told records what this node tells, and whether its next messages are urgent. It returns
 // the hubs that the node wants in its hall, if it is one.
-func (g *Gossip) told(s Said) []string {
+func (g *Gossip) told(s State) []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.urgent = s.news(g.said)
--- a/internal/gossip/start_test.go
+++ b/internal/gossip/start_test.go
@@ -78,11 +78,11 @@
 		for _, name := range order {
 			switch {
 			case n.Now().Before(starts[name]):
-			case !registers[name].Read():
+			case !registers[name].Joined():
 				n.Start(name)
-				_ = registers[name].Enter(context.Background()) // The table never fails.
+				_ = registers[name].Join(context.Background()) // The table never fails.
 			case step%5 == 0:
-				_ = registers[name].Watch(context.Background(), n.Now())
+				_ = registers[name].Poll(context.Background(), n.Now())
 			}
 		}
 		n.Run(gossip.Every)
@@ -116,7 +116,7 @@
 		costs[each] = cost{s.reads, s.bytes}
 		t.Logf("%d nodes: %d reads, %d bytes, writes %v", halls*each, s.reads, s.bytes, s.writes)
 		for _, name := range n.Names() {
-			if nodes, sure := n.Node(name).Count(); !sure || nodes < halls*each*9/10 || nodes > halls*each {
+			if nodes, sure := n.Node(name).TotalNodes(); !sure || nodes < halls*each*9/10 || nodes > halls*each {
 				t.Fatalf("%s counts %d nodes (%v) of %d", name, nodes, sure, halls*each)
 			}
 		}
--- a/internal/limit/limits.go
+++ b/internal/limit/limits.go
@@ -95,7 +95,7 @@
 	l.log.Info("engine limit", "engine", engine, "rate", rate, "before", known.rate, "from", from, "age_ms", now.Sub(at).Milliseconds())
 	l.count(known, rate)
 	known.changed, known.opens = now, time.Time{}
-	l.tell.Changed(engine)
+	l.tell.MarkChanged(engine)
 }
 
 // count sets the rate of an engine, and counts those that have a limit. The caller holds the lock.
--- a/internal/news/news.go
+++ b/internal/news/news.go
@@ -27,8 +27,8 @@
 	l.names = append(l.names, name)
 }
 
-// Changed says that there is something new of a name.
-func (l *List) Changed(name string) {
+// MarkChanged says that there is something new of a name.
+func (l *List) MarkChanged(name string) {
 	l.forget(name)
 	l.recent = append(l.recent, name)
 }
--- a/internal/news/news_test.go
+++ b/internal/news/news_test.go
@@ -18,8 +18,8 @@
 		l.Add(fmt.Sprint(i)) // Once is enough.
 	}
 	fresh := map[string]bool{"7": true, "9": true}
-	l.Changed("9")
-	l.Changed("7")
+	l.MarkChanged("9")
+	l.MarkChanged("7")
 	recent := func(name string) bool { return fresh[name] }
 	told := map[string]int{}
 	for range 2 * names / most {
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -17,8 +17,8 @@
 	// ErrUnreachable says that a peer could not be connected to; nothing was sent.
 	ErrUnreachable = errors.New("peer: not reachable")
 
-	// ErrSilent says that nothing came from a peer for longer than the client bears.
-	ErrSilent = errors.New("peer: silent")
+	// ErrIdleTimeout says that nothing came from a peer for longer than the client bears.
+	ErrIdleTimeout = errors.New("peer: silent")
 )
 
 type (
@@ -47,19 +47,19 @@
 }
 
 // Error describes it.
-func (e *silentError) Error() string { return ErrSilent.Error() }
+func (e *silentError) Error() string { return ErrIdleTimeout.Error() }
 
 // Is makes errors.Is(err, ErrSilent) true.
-func (e *silentError) Is(target error) bool { return target == ErrSilent }
+func (e *silentError) Is(target error) bool { return target == ErrIdleTimeout }
 
 // Option changes a client.
 type Option func(*Client)
 
-// WithSilence makes calls end, with ErrSilent, when nothing comes from the peer for so long.
+// WithIdleTimeout makes calls end, with ErrSilent, when nothing comes from the peer for so long.
 // A call then needs no bound that grows with its answer. One that met silence on a connection
 // that was kept is made once more over a new one, so that it should be one that may be repeated:
 // where the connections of all nodes fall silent at once, to ask another peer meets the same.
-func WithSilence(most time.Duration) Option { return func(c *Client) { c.silence = most } }
+func WithIdleTimeout(most time.Duration) Option { return func(c *Client) { c.silence = most } }
 
 // NewClient returns a client without connections.
 func NewClient(traffic *Traffic, options ...Option) *Client {
@@ -98,7 +98,7 @@
 	ctx, stop := c.watch(ctx, conn)
 	defer stop()
 	err = rpc.Call(ctx, method, params, result)
-	silent := err != nil && errors.Is(context.Cause(ctx), ErrSilent)
+	silent := err != nil && errors.Is(context.Cause(ctx), ErrIdleTimeout)
 	if silent || errors.Is(err, context.DeadlineExceeded) && conn.reads.Load() == before {
 		rpc.Close() // The next call finds it closed; its own error tells no more.
 	}
@@ -124,7 +124,7 @@
 			timer.Reset(c.silence - quiet)
 			return
 		}
-		cancel(ErrSilent)
+		cancel(ErrIdleTimeout)
 	})
 	close(ready)
 	return ctx, func() {
--- a/internal/peer/client_test.go
+++ b/internal/peer/client_test.go
@@ -66,7 +66,7 @@
 		return nil, ctx.Err()
 	}))
 	go s.Serve()
-	c := peer.NewClient(&peer.Traffic{}, peer.WithSilence(silence))
+	c := peer.NewClient(&peer.Traffic{}, peer.WithIdleTimeout(silence))
 	t.Cleanup(func() {
 		c.Close()
 		if err := s.Close(); err != nil {
@@ -143,7 +143,7 @@
 		t.Errorf("%q %v over %d connections, want an answer over a third", got, err, m.accepted.Load())
 	}
 	begin := time.Now()
-	if _, err := call("wait"); !errors.Is(err, peer.ErrSilent) || time.Since(begin) > time.Second {
+	if _, err := call("wait"); !errors.Is(err, peer.ErrIdleTimeout) || time.Since(begin) > time.Second {
 		t.Errorf("a peer that does not answer: %v after %v", err, time.Since(begin))
 	}
 }
--- a/internal/register/decode_test.go
+++ b/internal/register/decode_test.go
@@ -10,7 +10,7 @@
 )
 
 // good is a row as a node writes it.
-var good = gossip.Self{Name: "n", Incarnation: 1, PeerAddress: "10.0.0.1:7780", CallerAddress: "10.0.0.1:8080", Hall: "h", Cores: 0.4}
+var good = gossip.NodeInfo{Name: "n", Incarnation: 1, PeerAddress: "10.0.0.1:7780", CallerAddress: "10.0.0.1:8080", Hall: "h", Cores: 0.4}
 
 // FuzzDecode holds that whatever lies in the register is taken whole or not at all.
 func FuzzDecode(f *testing.F) {
@@ -25,7 +25,7 @@
 	}
 	f.Fuzz(func(t *testing.T, key string, value []byte) {
 		s, err := decode(feed.Row{Key: key, Value: value})
-		if err != nil && s != (gossip.Self{}) {
+		if err != nil && s != (gossip.NodeInfo{}) {
 			t.Errorf("half taken: %+v with %v", s, err)
 		}
 		if err == nil && (!strings.HasSuffix(key, "-"+s.Name) || s.PeerAddress == "" || s.Hall == "") {
--- a/internal/register/register.go
+++ b/internal/register/register.go
@@ -60,24 +60,24 @@
 
 	// Peers are told of the nodes in the register.
 	Peers interface {
-		// Meet adds a node that was learned of.
-		Meet(now time.Time, s gossip.Self)
+		// AddPeer adds a node that was learned of.
+		AddPeer(now time.Time, s gossip.NodeInfo)
 
-		// Settle works out anew who the hubs are.
-		Settle(now time.Time)
+		// UpdateHubs works out anew who the hubs are.
+		UpdateHubs(now time.Time)
 
-		// Hub reports whether this node is a hub, which has to know those of other halls.
-		Hub() bool
+		// IsHub reports whether this node is a hub, which has to know those of other halls.
+		IsHub() bool
 
-		// Lonely reports whether this node hears nobody.
-		Lonely(now time.Time) bool
+		// Isolated reports whether this node hears nobody.
+		Isolated(now time.Time) bool
 	}
 
 	// Register makes this node known to the others through the store, and the
 	// others to it.
 	Register struct {
 		store Store
-		self  gossip.Self
+		self  gossip.NodeInfo
 		key   string    // key is of this node's row.
 		halls []string  // halls are all halls, this node's first.
 		first bool      // first says that the whole system starts for the first time.
@@ -96,14 +96,14 @@
 )
 
 // New returns a register; halls are all halls, and first says that the whole system starts for the first time.
-func New(now time.Time, store Store, self gossip.Self, halls []string, first bool, peers Peers, log *slog.Logger) *Register {
+func New(now time.Time, store Store, self gossip.NodeInfo, halls []string, first bool, peers Peers, log *slog.Logger) *Register {
 	others := slices.DeleteFunc(slices.Clone(halls), func(hall string) bool { return hall == self.Hall })
 	slices.Sort(others)
 	return &Register{store: store, self: self, key: keyOf(self), halls: append([]string{self.Hall}, others...), first: first, begin: now, peers: peers, patience: lonelyFor, log: log}
 }
 
 // keyOf returns the key of a node's row.
-func keyOf(s gossip.Self) string {
+func keyOf(s gossip.NodeInfo) string {
 	return entry.Node{Name: s.Name, Cores: s.Cores}.SizeKey() + "-" + s.Name
 }
 
@@ -112,9 +112,9 @@
 	if r.first {
 		pause.For(ctx, rand.N(startSpread))
 	}
-	r.untilDone(ctx, r.Enter)
+	r.untilDone(ctx, r.Join)
 	if !r.first { // Callers wait already.
-		r.peers.Settle(clock.Now())
+		r.peers.UpdateHubs(clock.Now())
 		r.untilDone(ctx, r.watchNow)
 	}
 	for pause.For(ctx, watchEvery) {
@@ -135,10 +135,10 @@
 	}
 }
 
-// Enter makes one attempt to make this node known. It writes its row where it belongs to the head of its hall. A node that
+// Join makes one attempt to make this node known. It writes its row where it belongs to the head of its hall. A node that
 // callers wait for reads the head once more then: of two nodes that start together at least one sees the other, and makes
 // itself known to it; at the first start hubs do so once all have registered. A row of an earlier start mostly serves as it is.
-func (r *Register) Enter(ctx context.Context) error {
+func (r *Register) Join(ctx context.Context) error {
 	head, err := r.readHead(ctx, r.self.Hall)
 	if err != nil {
 		return err
@@ -159,16 +159,16 @@
 }
 
 // watchNow watches at the present time.
-func (r *Register) watchNow(ctx context.Context) error { return r.Watch(ctx, clock.Now()) }
+func (r *Register) watchNow(ctx context.Context) error { return r.Poll(ctx, clock.Now()) }
 
-// Watch reads more of the register where that is due. A hub always stands in the register, so that whoever reads the head
+// Poll reads more of the register where that is due. A hub always stands in the register, so that whoever reads the head
 // of a hall finds nodes that live as long as there are any. At the first start it waits until all nodes have had the time to
 // register.
-func (r *Register) Watch(ctx context.Context, now time.Time) error {
+func (r *Register) Poll(ctx context.Context, now time.Time) error {
 	if r.first && now.Sub(r.begin) < startSpread+watchEvery {
 		return nil
 	}
-	hub, lonely := r.peers.Hub(), r.peers.Lonely(now)
+	hub, lonely := r.peers.IsHub(), r.peers.Isolated(now)
 	switch {
 	case !lonely:
 		r.lonelyAt, r.patience = time.Time{}, lonelyFor
@@ -222,7 +222,7 @@
 	}
 	r.headsRead = true
 	r.repairAt = now.Add(repairEvery/2 + rand.N(repairEvery))
-	r.peers.Settle(now)
+	r.peers.UpdateHubs(now)
 	return nil
 }
 
@@ -283,23 +283,23 @@
 		r.log.Error("node in register not understood", "hall", hall, "key", row.Key, "error", err.Error())
 		return
 	}
-	r.peers.Meet(now, other)
+	r.peers.AddPeer(now, other)
 }
 
 // decode returns the node of a row. An error says that no node wrote it.
-func decode(row feed.Row) (gossip.Self, error) {
-	var s gossip.Self
+func decode(row feed.Row) (gossip.NodeInfo, error) {
+	var s gossip.NodeInfo
 	if err := json.Unmarshal(row.Value, &s); err != nil {
-		return gossip.Self{}, fmt.Errorf("decode node: %w", err)
+		return gossip.NodeInfo{}, fmt.Errorf("decode node: %w", err)
 	}
 	if s.Name == "" || !strings.HasSuffix(row.Key, "-"+s.Name) || s.Hall == "" || s.PeerAddress == "" || s.CallerAddress == "" || s.Incarnation <= 0 || s.Cores < 0 {
-		return gossip.Self{}, errNotNode
+		return gossip.NodeInfo{}, errNotNode
 	}
 	return s, nil
 }
 
-// Read reports whether this node has read the head of its hall, and stands in the register if it belongs there.
-func (r *Register) Read() bool { return r.wasRead.Load() }
+// Joined reports whether this node has read the head of its hall, and stands in the register if it belongs there.
+func (r *Register) Joined() bool { return r.wasRead.Load() }
 
 // writeOwn writes this node's row where there is none.
 func (r *Register) writeOwn(ctx context.Context) error { return r.write(ctx, 0) }
--- a/internal/register/register_test.go
+++ b/internal/register/register_test.go
@@ -80,35 +80,35 @@
 
 // peers keeps whom a node met.
 type peers struct {
-	met         map[string]gossip.Self
+	met         map[string]gossip.NodeInfo
 	hub, lonely bool
 }
 
-func (p *peers) Meet(_ time.Time, s gossip.Self) { p.met[s.Name] = s }
-func (p *peers) Settle(time.Time)                {}
-func (p *peers) Hub() bool                       { return p.hub }
-func (p *peers) Lonely(time.Time) bool           { return p.lonely }
+func (p *peers) AddPeer(_ time.Time, s gossip.NodeInfo) { p.met[s.Name] = s }
+func (p *peers) UpdateHubs(time.Time)                   {}
+func (p *peers) IsHub() bool                            { return p.hub }
+func (p *peers) Isolated(time.Time) bool                { return p.lonely }
 
 // newRegister returns a node's register and its peers; there are two halls.
-func newRegister(s *store, self gossip.Self) (*register.Register, *peers) {
-	p := &peers{met: map[string]gossip.Self{}}
+func newRegister(s *store, self gossip.NodeInfo) (*register.Register, *peers) {
+	p := &peers{met: map[string]gossip.NodeInfo{}}
 	return register.New(time.Unix(1000, 0), s, self, []string{"h", "i"}, false, p, slog.New(slog.NewTextHandler(io.Discard, nil))), p
 }
 
 // meet runs a node's register until it was read, and returns whom it met.
-func meet(t *testing.T, s *store, self gossip.Self) (*register.Register, map[string]gossip.Self) {
+func meet(t *testing.T, s *store, self gossip.NodeInfo) (*register.Register, map[string]gossip.NodeInfo) {
 	t.Helper()
 	r, p := newRegister(s, self)
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	done := make(chan struct{})
 	go func() { defer close(done); r.Run(ctx) }()
-	for !r.Read() && ctx.Err() == nil {
+	for !r.Joined() && ctx.Err() == nil {
 		time.Sleep(time.Millisecond)
 	}
 	cancel()
 	<-done
-	if !r.Read() {
+	if !r.Joined() {
 		t.Fatal("the register was not read")
 	}
 	return r, p.met
@@ -118,8 +118,8 @@
 // an uncertain write is tried again, and that a row which serves is not rewritten.
 func TestOfTwoNodesOneSeesTheOther(t *testing.T) {
 	s := &store{rows: map[string]feed.Row{}, fail: 2}
-	a := gossip.Self{Name: "a", Incarnation: 1, PeerAddress: "p-a", CallerAddress: "c-a", Hall: "h"}
-	b := gossip.Self{Name: "b", Incarnation: 2, PeerAddress: "p-b", CallerAddress: "c-b", Hall: "h"}
+	a := gossip.NodeInfo{Name: "a", Incarnation: 1, PeerAddress: "p-a", CallerAddress: "c-a", Hall: "h"}
+	b := gossip.NodeInfo{Name: "b", Incarnation: 2, PeerAddress: "p-b", CallerAddress: "c-b", Hall: "h"}
 	meet(t, s, a)
 	rb, met := meet(t, s, b)
 	if met["a"] != a || len(met) != 1 {
@@ -145,8 +145,8 @@
 }
 
 // node returns what a node of a hall says of itself.
-func node(hall, name string, cores float64) gossip.Self {
-	return gossip.Self{Name: name, Incarnation: 1, PeerAddress: "p-" + name, CallerAddress: "c-" + name, Hall: hall, Cores: cores}
+func node(hall, name string, cores float64) gossip.NodeInfo {
+	return gossip.NodeInfo{Name: name, Incarnation: 1, PeerAddress: "p-" + name, CallerAddress: "c-" + name, Hall: hall, Cores: cores}
 }
 
 // TestSmallNodesReadTheHeadAndLeaveItToLargerOnes holds that a node which does not belong to the head of its hall makes one call,
@@ -158,7 +158,7 @@
 	for i := range 60 {
 		r, p := newRegister(s, node("h", fmt.Sprint("n", i), 1))
 		p.lonely = true
-		if err := errors.Join(r.Enter(ctx), r.Watch(ctx, now), r.Watch(ctx, now.Add(3*time.Second))); err != nil {
+		if err := errors.Join(r.Join(ctx), r.Poll(ctx, now), r.Poll(ctx, now.Add(3*time.Second))); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -167,8 +167,8 @@
 	}
 	s.reads, s.writes = 0, 0
 	r, p := newRegister(s, node("h", "small", 0.2))
-	if err := r.Enter(ctx); err != nil || !r.Read() || s.reads != 1 || s.writes != 0 {
-		t.Errorf("%v: read %v, %d reads, %d writes; want one read", err, r.Read(), s.reads, s.writes)
+	if err := r.Join(ctx); err != nil || !r.Joined() || s.reads != 1 || s.writes != 0 {
+		t.Errorf("%v: read %v, %d reads, %d writes; want one read", err, r.Joined(), s.reads, s.writes)
 	}
 	head := len(p.met)
 	if head == 0 || head >= 60 {
@@ -178,7 +178,7 @@
 	watch := func(d time.Duration) {
 		t.Helper()
 		at = at.Add(d)
-		if err := r.Watch(ctx, at); err != nil {
+		if err := r.Poll(ctx, at); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -216,7 +216,7 @@
 	}
 	meet(t, s, node("i", "far", 1))
 	r, p := newRegister(s, node("h", "small", 0.2))
-	if err := r.Enter(ctx); err != nil {
+	if err := r.Join(ctx); err != nil {
 		t.Fatal(err)
 	}
 	if _, ok := p.met["far"]; ok || s.rows[smallKey(s)].Version != 0 {
@@ -225,7 +225,7 @@
 	p.hub = true
 	reads := s.reads
 	for range 5 {
-		if err := r.Watch(ctx, now); err != nil {
+		if err := r.Poll(ctx, now); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -234,7 +234,7 @@
 	}
 	reads = s.reads
 	for i := range 10 {
-		if err := r.Watch(ctx, now.Add(time.Duration(i)*time.Minute)); err != nil {
+		if err := r.Poll(ctx, now.Add(time.Duration(i)*time.Minute)); err != nil {
 			t.Fatal(err)
 		}
 	}
