--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -25,8 +25,8 @@
 	// Source reads the clocks of the machine.
 	Source struct {
 		Monotonic func() time.Time            // Steady returns a time whose differences are of the steady clock.
-		Wall    func(t time.Time) time.Time // Day returns the time of day at such a time.
-		Boot   func() time.Duration        // Boot returns the time since the machine's start, suspension included.
+		Wall      func(t time.Time) time.Time // Day returns the time of day at such a time.
+		Boot      func() time.Duration        // Boot returns the time since the machine's start, suspension included.
 	}
 
 	// Clock tells the present time. Its methods may be called from many goroutines.
--- a/internal/gossip/cadence.go
+++ b/internal/gossip/cadence.go
@@ -5,174 +5,176 @@
 	"time"
 )
 
-// The cadence of messages is counted in turns: a peer gets a message in each turn of
-// the sender, or in one of several.
+// The message schedule is counted in rounds: a peer gets a message in every round of the sender or in
+// every nth one.
 const (
-	// every is the time between two turns: an engine reads the prompts of about two
-	// requests meanwhile.
-	every = 100 * time.Millisecond
-
-	// aliveFor is how long a hub, or where nodes are few any peer, counts as alive after
-	// its last message to another. aliveSpoke is it between hubs and spokes, whose messages
-	// are rarest: two of them may be lost. A spoke hears sooner from the other hubs that one
-	// is gone.
-	aliveFor   = 1200 * time.Millisecond
-	aliveSpoke = 3*spokeTurns*every + 500*time.Millisecond
-
-	// choiceFor is how long a spoke goes by the choice of a hub that it no longer hears.
-	// Three hubs or more tell it theirs once a second each.
-	choiceFor = 1700 * time.Millisecond
-
-	// quietFor is how long a peer that is not heard still gets every message;
-	// afterwards it gets one in slowDown.
-	quietFor = 10 * time.Second
-	slowDown = 50
-
-	// forgetAfter is how long a peer that is not heard is remembered, though it
-	// should be.
+	// roundInterval is the time between two rounds. An engine reads the prompts of about two requests
+	// in that time.
+	roundInterval = 100 * time.Millisecond
+
+	// aliveTimeout is how long after its last message a hub counts as alive for another hub, or any
+	// peer in a full mesh. spokeAliveTimeout applies between hubs and spokes, whose messages are the
+	// rarest, and tolerates the loss of two of them. A spoke learns earlier from the other hubs that a
+	// hub has failed.
+	aliveTimeout      = 1200 * time.Millisecond
+	spokeAliveTimeout = 3*spokeRounds*roundInterval + 500*time.Millisecond
+
+	// choiceTimeout is how long a spoke follows the hub choice of a hub after that hub's last message.
+	// Each of three or more hubs sends its choice once a second.
+	choiceTimeout = 1700 * time.Millisecond
+
+	// silentTimeout is how long a silent peer still gets every message; after that it gets one every
+	// silentPeerRounds.
+	silentTimeout    = 10 * time.Second
+	silentPeerRounds = 50
+
+	// forgetAfter is how long a silent peer is kept although messages from it are expected.
 	forgetAfter = 5 * time.Minute
 
-	// Turns from one message to the next: between hubs of a hall, between hubs of two halls,
-	// since bytes between halls are paid for, and between hubs and the spokes of their
-	// hall, without work to tell and with it.
-	nearTurns  = 1
-	farTurns   = 2
-	spokeTurns = 10
-	busyTurns  = 2
-
-	// usesKept is for how many turns the prompt parts used are kept to be told.
-	usesKept = max(nearTurns, farTurns, busyTurns)
-
-	// restTurns is how many turns a spoke without work rests: each wake-up of 290 nodes
-	// costs processor time, and nothing that it does is due more often.
-	restTurns = 5
-
-	// newsTurns is for how many turns beyond those of one message what is new of requests under which engines ended
-	// is told, so that it comes in two messages at least. All that are held are told with the first message to a
-	// peer and once in allTurns, every five seconds, for those that have started or missed them.
-	newsTurns = 3
-	allTurns  = 50
-
-	// UpdateLifetime is how long what is new of such requests is told to those that hear the rarest messages.
-	UpdateLifetime = (spokeTurns + newsTurns) * every
-
-	// busyRate is how many requests a second make a spoke tell its work; the platform's
-	// own checks reach each node about once a second.
+	// Rounds between two messages: between hubs of the same hall, between hubs of different halls,
+	// where traffic is charged for, and between hubs and the spokes of their hall, for idle and for
+	// busy spokes.
+	sameHallRounds  = 1
+	crossHallRounds = 2
+	spokeRounds     = 10
+	busySpokeRounds = 2
+
+	// usesHistory is for how many rounds the prompt parts sent to engines are kept for messages.
+	usesHistory = max(sameHallRounds, crossHallRounds, busySpokeRounds)
+
+	// idleSpokeRounds is how many rounds an idle spoke sleeps: each wake-up on 290 nodes costs
+	// processor time, and nothing it does is due more often.
+	idleSpokeRounds = 5
+
+	// updateRounds is for how many extra rounds a message includes recent entries of a list, such as
+	// requests under which engines ended, so that each entry is in at least two messages. The full
+	// list is in the first message to a peer and in one every fullStateRounds (5 s), for peers that
+	// have started or missed updates.
+	updateRounds    = 3
+	fullStateRounds = 50
+
+	// UpdateLifetime is how long a recent list entry is sent to the peers with the longest message
+	// interval.
+	UpdateLifetime = (spokeRounds + updateRounds) * roundInterval
+
+	// busyRate is the number of requests per second from which a spoke reports its load; the
+	// platform's own checks reach each node about once a second.
 	busyRate = 2
 )
 
-// target is a peer that gets a message this turn.
+// target is a peer that gets a message in this round.
 type target struct {
 	Peer
-	turns  int  // turns is how many turns lie between two messages to it.
-	chosen bool // chosen says that it is told how to reach the hubs of the hall.
+	rounds   int  // rounds is the number of rounds between two messages to it.
+	withHubs bool // withHubs says that the message includes the addresses of the chosen hubs.
 }
 
-// targets returns whom to send to this turn, and forgets peers that should be heard and
-// are long gone. What is urgent is told at once to all that get messages.
-func (g *Gossip) targets(now time.Time, turn int) []target {
+// targets returns the peers to send to in this round, and forgets peers that have been silent for
+// forgetAfter although they should send messages. Urgent state goes to every peer at once, unless that
+// peer is silent or gets no messages.
+func (g *Gossip) targets(now time.Time, round int) []target {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var out []target
 	for name, p := range g.peers {
-		quiet := now.Sub(latest(p.met, p.heard))
-		turns := g.turns(p)
+		silent := now.Sub(latest(p.addedAt, p.heardAt))
+		rounds := g.roundsBetween(p)
 		switch {
-		case turns == 0:
-		case quiet > forgetAfter:
+		case rounds == 0:
+		case silent > forgetAfter:
 			delete(g.peers, name)
 		case p.addr == nil:
-		case turn < p.due && !(g.urgent && quiet <= quietFor):
+		case round < p.nextRound && !(g.urgent && silent <= silentTimeout):
 		default:
-			if p.chose != g.choices {
-				p.chose, p.choseSeq = g.choices, g.seq+1 // It is told with the next message.
+			if p.choiceVersion != g.choiceVersion {
+				p.choiceVersion, p.choiceSeq = g.choiceVersion, g.seq+1 // The next message has the choice.
 			}
-			chosen := len(g.chosen) > 0 && (p.got < p.choseSeq || p.sent%introduceEvery == 0)
-			out = append(out, target{Peer: *p, turns: turns, chosen: chosen})
-			p.sent++
-			p.due = turn + turns
-			if quiet > quietFor {
-				p.due = turn + slowDown
+			chosen := len(g.chosenHubs) > 0 && (p.ackedSeq < p.choiceSeq || p.sentCount%infoInterval == 0)
+			out = append(out, target{Peer: *p, rounds: rounds, withHubs: chosen})
+			p.sentCount++
+			p.nextRound = round + rounds
+			if silent > silentTimeout {
+				p.nextRound = round + silentPeerRounds
 			}
 		}
 	}
 	return out
 }
 
-// turns returns how many turns lie between two messages to a peer; 0 if it gets none. The
+// roundsBetween returns the number of rounds between two messages to a peer; 0 if it gets none. The
 // caller holds the lock.
-func (g *Gossip) turns(p *Peer) int {
-	if g.few() {
-		return nearTurns
+func (g *Gossip) roundsBetween(p *Peer) int {
+	if g.fullMesh() {
+		return sameHallRounds
 	}
 	far, hub := p.Hall != g.self.Hall, g.hubs[p.Name]
 	switch {
-	case g.hub && hub && far:
-		return farTurns
-	case g.hub && hub:
-		return nearTurns
-	case far || !g.hub && !hub:
+	case g.isHub && hub && far:
+		return crossHallRounds
+	case g.isHub && hub:
+		return sameHallRounds
+	case far || !g.isHub && !hub:
 		return 0
-	case g.hub && p.State.busy(), hub && g.said.busy():
-		return busyTurns
+	case g.isHub && p.State.busy(), hub && g.lastState.busy():
+		return busySpokeRounds
 	}
-	return spokeTurns
+	return spokeRounds
 }
 
-// rest returns how many turns this node does nothing.
-func (g *Gossip) rest() int {
+// sleepRounds returns how many rounds this node waits until it sends again.
+func (g *Gossip) sleepRounds() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.few() || g.hub || g.said.busy() {
+	if g.fullMesh() || g.isHub || g.lastState.busy() {
 		return 1
 	}
-	return restTurns
+	return idleSpokeRounds
 }
 
-// alive reports whether a peer was heard lately, and whether a spoke may take it for a
-// hub; the caller holds the lock.
+// alive reports whether a peer was heard recently and, on a spoke, whether it is a known hub. The
+// caller holds the lock.
 func (g *Gossip) alive(now time.Time, p *Peer) bool {
-	if !g.few() && !g.hub && !g.hubs[p.Name] {
-		return false // Those that hear it more often say that it is none.
+	if !g.fullMesh() && !g.isHub && !g.hubs[p.Name] {
+		return false // The hubs, which hear this peer more often, do not list it as a hub.
 	}
-	return g.heardLately(now, p)
+	return g.heardRecently(now, p)
 }
 
-// heardLately reports whether a peer was heard within the time of a message or two.
-func (g *Gossip) heardLately(now time.Time, p *Peer) bool {
-	life := aliveSpoke
-	if g.few() || g.hub && len(p.hubs) > 0 {
-		life = aliveFor
+// heardRecently reports whether a peer was heard within its alive timeout.
+func (g *Gossip) heardRecently(now time.Time, p *Peer) bool {
+	timeout := spokeAliveTimeout
+	if g.fullMesh() || g.isHub && len(p.chosenHubs) > 0 {
+		timeout = aliveTimeout
 	}
-	return now.Sub(p.heard) <= life
+	return now.Sub(p.heardAt) <= timeout
 }
 
-// choiceCounts reports whether a hub was heard so lately that its choice of hubs counts.
-func (g *Gossip) choiceCounts(now time.Time, p *Peer) bool {
-	return len(p.hubs) > 0 && g.heardLately(now, p) && (g.hub || now.Sub(p.heard) <= choiceFor)
+// choiceIsCurrent reports whether a hub was heard recently enough for its hub choice to count.
+func (g *Gossip) choiceIsCurrent(now time.Time, p *Peer) bool {
+	return len(p.chosenHubs) > 0 && g.heardRecently(now, p) && (g.isHub || now.Sub(p.heardAt) <= choiceTimeout)
 }
 
-// saidTo returns what is told to peers that get a message each so many turns, with the
-// prompt parts used since the last one. Spokes without work need not know of any.
-func (g *Gossip) saidTo(s State, turn, turns int) State {
+// stateFor returns the state for peers that get a message every given number of rounds, with the
+// prompt parts used since the last one. Idle spokes get neither loads nor uses.
+func (g *Gossip) stateFor(s State, round, rounds int) State {
 	s.Uses = nil
-	if turns == spokeTurns {
+	if rounds == spokeRounds {
 		s.Loads = nil
 		return s
 	}
-	for back := range min(turns, turn+1) {
-		s.Uses = append(s.Uses, g.uses[(turn-back)%len(g.uses)]...)
+	for back := range min(rounds, round+1) {
+		s.Uses = append(s.Uses, g.recentUses[(round-back)%len(g.recentUses)]...)
 	}
 	return s
 }
 
-// news reports whether what a node says should reach its peers at once: newer tables.
-func (s *State) news(before State) bool { return !maps.Equal(s.Versions, before.Versions) }
+// hasNewVersions reports whether the state has new table versions, which peers should get at once.
+func (s *State) hasNewVersions(before State) bool { return !maps.Equal(s.Versions, before.Versions) }
 
 // busy reports whether the node serves enough requests for its loads to matter.
 func (s *State) busy() bool { return s.Rate >= busyRate }
 
-// latest returns the later of two moments.
+// latest returns the later of two times.
 func latest(a, b time.Time) time.Time {
 	if b.After(a) {
 		return b
--- a/internal/gossip/cadence_test.go
+++ b/internal/gossip/cadence_test.go
@@ -13,8 +13,8 @@
 	"github.com/croftturn/croftturn/internal/quarantine"
 )
 
-// newTestGossip returns a gossip that is not connected and knows some peers of two
-// halls, half of them in each; every third is busy, and the first four are hubs.
+// newTestGossip returns a Gossip without a connection that knows some peers, half of them in each of
+// two halls. Every third peer is busy, and the first four are hubs.
 func newTestGossip(t *testing.T, now time.Time, peers int) *Gossip {
 	t.Helper()
 	g := newGossip(NodeInfo{Name: "self", PeerAddress: "127.0.0.1:0", Hall: "h0"}, slog.New(slog.NewTextHandler(io.Discard, nil)))
@@ -23,9 +23,9 @@
 		s := NodeInfo{Name: fmt.Sprint("p", i), Incarnation: 1, PeerAddress: "127.0.0.1:9", Hall: fmt.Sprint("h", i%2)}
 		g.AddPeer(now, s)
 		p := g.peers[s.Name]
-		p.heard = now
+		p.heardAt = now
 		if g.hubs[s.Name] = i < 4; i < 4 {
-			p.hubs = []string{"p0"}
+			p.chosenHubs = []string{"p0"}
 		}
 		if i%3 == 0 {
 			p.State.Rate = 2 * busyRate
@@ -34,20 +34,19 @@
 	return g
 }
 
-// TestWhoIsToldHowOften holds how often each kind of peer gets a message where
-// nodes are many, that none waits longer than peers count as alive, and that all get
-// every message where nodes are few.
-func TestWhoIsToldHowOften(t *testing.T) {
+// TestMessageIntervals checks how often each kind of peer gets a message in a large cluster, that no
+// interval exceeds the alive timeout, and that all peers get every message in a small one.
+func TestMessageIntervals(t *testing.T) {
 	now := time.Unix(1000, 0)
-	const turns = 10 * spokeTurns
-	count := func(hub bool, said State) map[string]int {
+	const rounds = 10 * spokeRounds
+	count := func(hub bool, state State) map[string]int {
 		g := newTestGossip(t, now, 30)
-		g.hub = hub
-		g.told(said)
+		g.isHub = hub
+		g.recordState(state)
 		g.urgent = false
 		got := map[string]int{}
-		for turn := range turns {
-			for _, to := range g.targets(now, turn) {
+		for round := range rounds {
+			for _, to := range g.targets(now, round) {
 				got[to.Name]++
 			}
 		}
@@ -55,140 +54,140 @@
 	}
 	hub, spoke, busy := count(true, State{Rate: 2 * busyRate}), count(false, State{}), count(false, State{Rate: 2 * busyRate})
 	want := map[string]struct{ hub, spoke, busy int }{
-		"p2": {turns / nearTurns, turns / spokeTurns, turns / busyTurns}, // near hub
-		"p3": {turns / farTurns, 0, 0},                                   // far hub
-		"p4": {turns / spokeTurns, 0, 0},                                 // near spoke
-		"p6": {turns / busyTurns, 0, 0},                                  // busy near spoke
-		"p9": {0, 0, 0},                                                  // far spoke
+		"p2": {rounds / sameHallRounds, rounds / spokeRounds, rounds / busySpokeRounds}, // near hub
+		"p3": {rounds / crossHallRounds, 0, 0},                                          // far hub
+		"p4": {rounds / spokeRounds, 0, 0},                                              // near spoke
+		"p6": {rounds / busySpokeRounds, 0, 0},                                          // busy near spoke
+		"p9": {0, 0, 0},                                                                 // far spoke
 	}
 	for name, n := range want {
 		if hub[name] != n.hub || spoke[name] != n.spoke || busy[name] != n.busy {
-			t.Errorf("%s gets %d messages of a hub, %d of a spoke and %d of a busy spoke, want %+v", name, hub[name], spoke[name], busy[name], n)
+			t.Errorf("%s gets %d messages from a hub, %d from a spoke and %d from a busy spoke, want %+v", name, hub[name], spoke[name], busy[name], n)
 		}
 	}
 	for _, hub := range []bool{true, false} {
 		g := newTestGossip(t, now, 30)
-		g.hub = hub
+		g.isHub = hub
 		for name, p := range g.peers {
-			p.heard = now.Add(-2 * time.Duration(g.turns(p)) * every)
-			if g.turns(p) > 0 && !g.alive(now, p) {
-				t.Errorf("%s misses one message and counts as dead for a node that is a hub: %t", name, hub)
+			p.heardAt = now.Add(-2 * time.Duration(g.roundsBetween(p)) * roundInterval)
+			if g.roundsBetween(p) > 0 && !g.alive(now, p) {
+				t.Errorf("%s counts as dead after one lost message, for a node that is a hub: %t", name, hub)
 			}
 		}
 	}
-	if got := len(newTestGossip(t, now, manyPeers).targets(now, 1)); got != manyPeers {
-		t.Errorf("%d of %d peers get a message where nodes are few", got, manyPeers)
+	if got := len(newTestGossip(t, now, maxFullMeshPeers).targets(now, 1)); got != maxFullMeshPeers {
+		t.Errorf("%d of %d peers get a message in a small cluster", got, maxFullMeshPeers)
 	}
 }
 
-// TestQuietPeersAreAskedNowAndThen holds that a peer that was long not heard still
-// gets messages, whatever the turns in which it would get others.
-func TestQuietPeersAreAskedNowAndThen(t *testing.T) {
+// TestSilentPeersStillGetMessages checks that a peer that has been silent for long still gets
+// messages, one every silentPeerRounds whatever its normal interval.
+func TestSilentPeersStillGetMessages(t *testing.T) {
 	now := time.Unix(1000, 0)
 	g := newTestGossip(t, now, 30)
-	g.hub = true
-	const asked = 15 + 2 // all of its hall, and the hubs of the other
+	g.isHub = true
+	const reached = 15 + 2 // all of its hall, and the hubs of the other
 	got := 0
-	for turn := range 2 * slowDown {
-		got += len(g.targets(now.Add(quietFor+time.Second), turn))
+	for round := range 2 * silentPeerRounds {
+		got += len(g.targets(now.Add(silentTimeout+time.Second), round))
 	}
-	if got != 2*asked {
-		t.Errorf("%d messages to %d quiet peers in %d turns, want %d", got, asked, 2*slowDown, 2*asked)
+	if got != 2*reached {
+		t.Errorf("%d messages to %d silent peers in %d rounds, want %d", got, reached, 2*silentPeerRounds, 2*reached)
 	}
 }
 
-// TestPeersMissNoUses holds that a peer that gets a message only in some turns is
-// told of the prompt parts used in the turns between, and a spoke without work of no work
-// at all.
-func TestPeersMissNoUses(t *testing.T) {
+// TestPeersReceiveAllUses checks that a peer that gets a message only every few rounds gets the prompt
+// parts used in the rounds between, and that an idle spoke gets no load at all.
+func TestPeersReceiveAllUses(t *testing.T) {
 	g := newTestGossip(t, time.Unix(1000, 0), 0)
 	const newest = 10
-	for turn := range newest + 1 {
-		g.uses[turn%len(g.uses)] = []placement.Use{{Part: uint64(turn)}}
-	}
-	said := State{Rate: 9, Loads: map[string]placement.Load{"e": {InFlight: 1}}}
-	for _, turns := range []int{nearTurns, farTurns, busyTurns} {
-		got := g.saidTo(said, newest, turns)
-		if len(got.Uses) != turns || got.Uses[0].Part != newest || got.Uses[turns-1].Part != uint64(newest+1-turns) || len(got.Loads) != 1 {
-			t.Errorf("of %d turns: %+v", turns, got)
+	for round := range newest + 1 {
+		g.recentUses[round%len(g.recentUses)] = []placement.Use{{Part: uint64(round)}}
+	}
+	state := State{Rate: 9, Loads: map[string]placement.Load{"e": {InFlight: 1}}}
+	for _, rounds := range []int{sameHallRounds, crossHallRounds, busySpokeRounds} {
+		got := g.stateFor(state, newest, rounds)
+		if len(got.Uses) != rounds || got.Uses[0].Part != newest || got.Uses[rounds-1].Part != uint64(newest+1-rounds) || len(got.Loads) != 1 {
+			t.Errorf("state for an interval of %d rounds: %+v", rounds, got)
 		}
 	}
-	if got := g.saidTo(said, 0, farTurns); len(got.Uses) != 1 {
-		t.Errorf("in the first turn: %+v, want its own uses", got)
+	if got := g.stateFor(state, 0, crossHallRounds); len(got.Uses) != 1 {
+		t.Errorf("in the first round: %+v, want its own uses", got)
 	}
-	if got := g.saidTo(said, newest, spokeTurns); len(got.Uses) != 0 || len(got.Loads) != 0 || got.Rate != 9 {
-		t.Errorf("to spokes without work: %+v", got)
+	if got := g.stateFor(state, newest, spokeRounds); len(got.Uses) != 0 || len(got.Loads) != 0 || got.Rate != 9 {
+		t.Errorf("state for idle spokes: %+v, want no loads", got)
 	}
 }
 
-// scripted is a node that says what a test sets.
-type scripted struct{ said State }
+// fakeNode is a node that reports the state set by a test.
+type fakeNode struct{ state State }
 
-func (s *scripted) LocalState(time.Time) State                            { return s.said }
-func (s *scripted) HandlePeerState(time.Time, NodeInfo, State, time.Time) {}
+func (s *fakeNode) LocalState(time.Time) State                            { return s.state }
+func (s *fakeNode) HandlePeerState(time.Time, NodeInfo, State, time.Time) {}
 
-// TestUsesOfBeforeAChangeOfEnginesAreNotTold holds that prompt parts which were given to engines before this
-// node took newer entries are not told with the newer version: they may be of a former incarnation.
-func TestUsesOfBeforeAChangeOfEnginesAreNotTold(t *testing.T) {
+// TestNewVersionsDropEarlierUses checks that uses from before this node took a newer table version are
+// not sent with that version: they may belong to an earlier incarnation of the engine.
+func TestNewVersionsDropEarlierUses(t *testing.T) {
 	now := time.Unix(1000, 0)
 	g := newTestGossip(t, now, 30)
-	node := &scripted{}
+	node := &fakeNode{}
 	g.node = node
 	use := func(part uint64) []placement.Use { return []placement.Use{{Engine: "e", Part: part}} }
-	compose := func(turn int, version int64, part uint64) []placement.Use {
-		node.said = State{Versions: map[string]int64{"servers": version}, Uses: use(part)}
-		g.compose(func() time.Time { return now }, turn)
-		return g.saidTo(node.said, turn, usesKept).Uses
+	compose := func(round int, version int64, part uint64) []placement.Use {
+		node.state = State{Versions: map[string]int64{"servers": version}, Uses: use(part)}
+		g.compose(func() time.Time { return now }, round)
+		return g.stateFor(node.state, round, usesHistory).Uses
 	}
 	compose(0, 5, 1)
 	if got := compose(1, 5, 2); len(got) != 2 {
-		t.Errorf("with the same entries %v is told, want what was used in two turns", got)
+		t.Errorf("with the same version %v is sent, want the uses of two rounds", got)
 	}
 	if got := compose(2, 6, 3); len(got) != 1 || got[0].Part != 3 {
-		t.Errorf("after a change of entries %v is told, want only what was used since", got)
+		t.Errorf("after a new version %v is sent, want only the uses since then", got)
 	}
 }
 
-// TestWhatCrashesEnginesIsTold holds that what is new of requests under which engines ended comes in two messages at least to
-// each peer, whatever its turns, and that one of old which is held comes with the first message to a peer, and now and then.
-func TestWhatCrashesEnginesIsTold(t *testing.T) {
+// TestCrashingRequestsReachAllPeers checks that a recent entry is in at least two messages to each
+// peer, whatever the peer's interval, and that an old entry that is still held is in the first message
+// to a peer and in one every fullStateRounds.
+func TestCrashingRequestsReachAllPeers(t *testing.T) {
 	start := time.Unix(1000, 0)
 	g := newTestGossip(t, start, 30)
-	g.hub = true
-	node := &scripted{}
+	g.isHub = true
+	node := &fakeNode{}
 	g.node = node
-	news, old := map[string]int{}, map[string]int{}
-	const turns = 2 * allTurns * farTurns
-	for turn := range turns {
-		now := start.Add(time.Duration(turn) * every)
+	recent, old := map[string]int{}, map[string]int{}
+	const rounds = 2 * fullStateRounds * crossHallRounds
+	for round := range rounds {
+		now := start.Add(time.Duration(round) * roundInterval)
 		for _, p := range g.peers {
-			p.heard = now
+			p.heardAt = now
 		}
-		node.said = State{Crashing: []quarantine.Told{{Fingerprint: 1, Age: now.Sub(start)}, {Fingerprint: 2, Age: time.Hour}}}
-		if turn*int(every) > int(UpdateLifetime) {
-			node.said.Crashing = node.said.Crashing[1:]
+		node.state = State{Crashing: []quarantine.Told{{Fingerprint: 1, Age: now.Sub(start)}, {Fingerprint: 2, Age: time.Hour}}}
+		if round*int(roundInterval) > int(UpdateLifetime) {
+			node.state.Crashing = node.state.Crashing[1:]
 		}
-		for _, o := range g.compose(func() time.Time { return now }, turn) {
-			var said State
-			if err := cbor.Unmarshal(o.State, &said); err != nil {
+		for _, o := range g.compose(func() time.Time { return now }, round) {
+			var state State
+			if err := cbor.Unmarshal(o.State, &state); err != nil {
 				t.Fatal(err)
 			}
-			for _, told := range said.Crashing {
-				if told.Fingerprint == 1 {
-					news[o.to.Name]++
+			for _, entry := range state.Crashing {
+				if entry.Fingerprint == 1 {
+					recent[o.to.Name]++
 					continue
 				}
 				old[o.to.Name]++
 			}
 		}
 	}
-	if len(news) == 0 {
-		t.Fatal("nobody was told")
+	if len(recent) == 0 {
+		t.Fatal("no peer got the recent entry")
 	}
-	for name, n := range news {
-		most := 2 + turns/allTurns
-		if n < 2 || n > 6 || old[name] < 1 || old[name] > most {
-			t.Errorf("%s was told %d times of what is new, want 2 to 6, and %d times of what is old, want 1 to %d", name, n, old[name], most)
+	for name, n := range recent {
+		maxOld := 2 + rounds/fullStateRounds
+		if n < 2 || n > 6 || old[name] < 1 || old[name] > maxOld {
+			t.Errorf("%s got the recent entry %d times, want 2 to 6, and the old one %d times, want 1 to %d", name, n, old[name], maxOld)
 		}
 	}
 }
--- a/internal/gossip/count.go
+++ b/internal/gossip/count.go
@@ -2,43 +2,44 @@
 
 import "time"
 
-// reachLife is for how long a node that is heard no more counts as one that may be there.
-const reachLife = 30 * time.Second
+// reachWindow is how long a node still counts as possibly running after its last message.
+const reachWindow = 30 * time.Second
 
-// ReachableShare returns which part of the nodes that were heard within reachLife is alive as far as this node knows, this one among
-// them. It is the part that a side of a cut has; nodes that stop as planned don't count.
+// ReachableShare returns the share of the nodes heard within reachWindow that are alive as seen by
+// this node, itself included. During a network partition this is the share on this side. Nodes that
+// are shutting down as planned do not count.
 func (g *Gossip) ReachableShare(now time.Time) float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	alive, all := 1, 1
 	for _, p := range g.peers {
 		switch {
-		case p.heard.IsZero() || p.State.Stopping:
-		case g.heardLately(now, p):
+		case p.heardAt.IsZero() || p.State.Stopping:
+		case g.heardRecently(now, p):
 			alive++
 			all++
-		case now.Sub(p.heard) <= reachLife:
+		case now.Sub(p.heardAt) <= reachWindow:
 			all++
 		}
 	}
 	return float64(alive) / float64(all)
 }
 
-// KnowsHall reports whether any node of a hall is known, heard lately or not.
+// KnowsHall reports whether any node of a hall is known, alive or not.
 func (g *Gossip) KnowsHall(hall string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.halls()[hall]
 }
 
-// TotalNodes returns how many nodes there are, this one among them, heard lately or not. A hub knows the nodes of its own hall,
-// and the hubs of other halls tell it of theirs; a spoke is told by its hubs. sure says that the nodes of all halls are
-// counted.
+// TotalNodes returns the number of nodes, this one included, alive or not. A hub knows the nodes of
+// its own hall and gets the counts of other halls from their hubs; a spoke gets the total from its
+// hubs. sure says that the nodes of all halls are counted.
 func (g *Gossip) TotalNodes() (nodes int, sure bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	nodes = g.count().All
-	if g.few() || g.hub {
+	if g.fullMesh() || g.isHub {
 		return nodes, true
 	}
 	for _, p := range g.peers {
@@ -49,26 +50,26 @@
 	return nodes, sure
 }
 
-// count returns the nodes that this one knows, and those that hubs of other halls know of their own. The caller holds the
-// lock.
+// count returns the number of known nodes, with the counts that hubs of other halls report for their
+// own hall. The caller holds the lock.
 func (g *Gossip) count() NodeCount {
-	known, told := map[string]int{g.self.Hall: 1}, map[string]int{}
+	known, advertised := map[string]int{g.self.Hall: 1}, map[string]int{}
 	for _, p := range g.peers {
 		known[p.Hall]++
-		told[p.Hall] = max(told[p.Hall], p.State.Nodes.Hall)
+		advertised[p.Hall] = max(advertised[p.Hall], p.State.Nodes.Hall)
 	}
 	c := NodeCount{Hall: known[g.self.Hall]}
 	for hall, n := range known {
-		c.All += max(n, told[hall])
+		c.All += max(n, advertised[hall])
 	}
 	return c
 }
 
-// tellCount returns what peers are told of the number of nodes, which is nothing where this node is no hub.
-func (g *Gossip) tellCount() NodeCount {
+// advertisedCount returns the node counts sent to peers; they are zero unless this node is a hub.
+func (g *Gossip) advertisedCount() NodeCount {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.few() || !g.hub {
+	if g.fullMesh() || !g.isHub {
 		return NodeCount{}
 	}
 	return g.count()
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,6 +1,5 @@
-// Package gossip lets nodes tell each other, by datagrams, that they live, how
-// to reach them, and what work each has at each engine. Nothing depends on a
-// datagram arriving: what a node does not hear, it goes without.
+// Package gossip exchanges liveness, addresses and per-engine load between nodes in UDP datagrams.
+// Delivery is best effort: nothing depends on any single datagram arriving.
 package gossip
 
 import (
@@ -18,60 +17,60 @@
 )
 
 const (
-	// introduceEvery is how many messages to a peer make one that says who the sender
-	// is and how to reach it; between, its name is enough for peers that have answered.
-	introduceEvery = 20
+	// infoInterval is how many messages to a peer include one with the sender's NodeInfo; for the
+	// others the name is enough for peers that have answered.
+	infoInterval = 20
 
-	// remembered is how many messages a node remembers the sending of: a peer that
-	// is so far behind has been silent for longer than it counts as alive.
-	remembered = 64
+	// sentHistory is the number of messages whose send times are kept. A peer that is further behind
+	// has been silent for longer than the alive timeout.
+	sentHistory = 64
 
-	// firstSeqs bounds the number of the first message, which is drawn by chance: a
-	// peer may still answer one of an earlier start of this node.
-	firstSeqs = 1 << 30
+	// maxFirstSeq bounds the random first sequence number: a peer may still acknowledge a message of
+	// an earlier start of this node.
+	maxFirstSeq = 1 << 30
 
-	// longestLogged is how much of an address that is none is logged, in bytes.
-	longestLogged = 48
+	// maxLoggedAddress is how many bytes of an invalid address are logged.
+	maxLoggedAddress = 48
 )
 
 type (
-	// Node is the node that gossips.
+	// Node provides the state that Gossip sends and handles the state of peers.
 	Node interface {
-		// LocalState returns what the peers are told.
+		// LocalState returns the state to send to peers.
 		LocalState(now time.Time) State
 
-		// HandlePeerState takes what a peer said, after it had received what this node sent
-		// at a moment; that is zero where it has received nothing yet.
+		// HandlePeerState handles the state of a peer. received is when this node sent the message
+		// that the peer acknowledges; it is zero if the peer has acknowledged none.
 		HandlePeerState(now time.Time, p NodeInfo, s State, received time.Time)
 	}
 
-	// Gossip talks to the peers.
+	// Gossip exchanges state with the peers.
 	Gossip struct {
 		self NodeInfo
 		node Node
 		log  *slog.Logger
 		conn *net.UDPConn
 
-		mu     sync.Mutex
-		peers  map[string]*Peer
-		said   State // said is what this node told last.
-		urgent bool  // urgent says that it has newer tables, or chose other hubs, than it told before.
-		seq    uint32
-		sent   [remembered]time.Time     // sent holds when the newest messages were sent, by number.
-		uses   [usesKept][]placement.Use // uses holds the prompt parts told in the newest turns, by turn; only send has it.
-
-		hub      bool                 // hub says that this node is a hub.
-		hubs     map[string]bool      // hubs are the nodes that count as hubs, of all halls.
-		chosen   []string             // chosen are the hubs that this node, being one, wants in its hall.
-		choices  int                  // choices counts how often chosen has changed.
-		hubHeard map[string]time.Time // hubHeard is when a hub of a hall was last heard, or first missed.
-
-		unheardSince map[string]time.Time // unheardSince is since when none of the hubs that others name in a hall is heard.
-		promoted     chan struct{}        // promoted tells a spoke that rests that a hub wants it to be one.
+		mu         sync.Mutex
+		peers      map[string]*Peer
+		lastState  State // lastState is the state sent last.
+		urgent     bool  // urgent says that the next state has newer table versions or a new hub choice.
+		seq        uint32
+		sentTimes  [sentHistory]time.Time       // sentTimes holds the send times of the newest messages by sequence number.
+		recentUses [usesHistory][]placement.Use // recentUses holds the prompt parts of the newest rounds by round; only send uses it.
+
+		isHub         bool                 // isHub says that this node is a hub.
+		hubs          map[string]bool      // hubs are the nodes that are taken for hubs, in all halls.
+		chosenHubs    []string             // chosenHubs are the hubs that this node, as a hub, chose for its hall.
+		choiceVersion int                  // choiceVersion counts changes of chosenHubs.
+		hubHeardAt    map[string]time.Time // hubHeardAt is, by hall, when a hub there was last heard or first missed.
+
+		unheardSince map[string]time.Time // unheardSince is, by hall, since when none of the hubs that others advertise there is heard.
+		promoted     chan struct{}        // promoted wakes a sleeping spoke that a hub has chosen as a hub.
 	}
 )
 
-// New returns a gossip on the self's peer address. Run begins it.
+// New returns a Gossip that listens on the node's peer address. Run starts it.
 func New(self NodeInfo, log *slog.Logger) (*Gossip, error) {
 	addr, err := net.ResolveUDPAddr("udp4", self.PeerAddress)
 	if err != nil {
@@ -86,19 +85,19 @@
 	return g, nil
 }
 
-// newGossip returns a gossip that is not connected.
+// newGossip returns a Gossip without a connection.
 func newGossip(self NodeInfo, log *slog.Logger) *Gossip {
-	return &Gossip{self: self, log: log, peers: map[string]*Peer{}, hubHeard: map[string]time.Time{}, unheardSince: map[string]time.Time{}, promoted: make(chan struct{}, 1), seq: 1 + rand.Uint32N(firstSeqs)}
+	return &Gossip{self: self, log: log, peers: map[string]*Peer{}, hubHeardAt: map[string]time.Time{}, unheardSince: map[string]time.Time{}, promoted: make(chan struct{}, 1), seq: 1 + rand.Uint32N(maxFirstSeq)}
 }
 
-// AddPeer adds a peer that was learned of elsewhere, such as from the platform.
+// AddPeer adds a peer that was found elsewhere, such as on the platform.
 func (g *Gossip) AddPeer(now time.Time, s NodeInfo) {
 	if s.Name == g.self.Name {
 		return
 	}
-	at, err := netip.ParseAddrPort(s.PeerAddress) // It may be any text, and no name to look up.
+	at, err := netip.ParseAddrPort(s.PeerAddress) // The text is not trusted, and host names are not looked up.
 	if err != nil || !at.Addr().Is4() {
-		g.log.Warn("peer address not usable", "peer", s.Name, "address", s.PeerAddress[:min(len(s.PeerAddress), longestLogged)])
+		g.log.Warn("unusable peer address", "peer", s.Name, "address", s.PeerAddress[:min(len(s.PeerAddress), maxLoggedAddress)])
 		return
 	}
 	g.mu.Lock()
@@ -107,14 +106,14 @@
 	if known != nil && known.Incarnation >= s.Incarnation {
 		return
 	}
-	g.peers[s.Name] = &Peer{NodeInfo: s, addr: net.UDPAddrFromAddrPort(at), met: now}
+	g.peers[s.Name] = &Peer{NodeInfo: s, addr: net.UDPAddrFromAddrPort(at), addedAt: now}
 }
 
-// AddAlivePeer takes a peer as if it had just said something.
-func (g *Gossip) AddAlivePeer(now time.Time, s NodeInfo, said State) {
+// AddAlivePeer adds a peer as if it had just sent its state.
+func (g *Gossip) AddAlivePeer(now time.Time, s NodeInfo, state State) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.peers[s.Name] = &Peer{NodeInfo: s, State: said, heard: now, met: now}
+	g.peers[s.Name] = &Peer{NodeInfo: s, State: state, heardAt: now, addedAt: now}
 }
 
 // Peers returns the peers that are alive.
@@ -130,7 +129,7 @@
 	return out
 }
 
-// Isolated reports whether this node, where it is a spoke, hears no hub, and else whether it hears nobody.
+// Isolated reports whether this node hears no peer; on a spoke, whether it hears no hub.
 func (g *Gossip) Isolated(now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -142,18 +141,18 @@
 	return true
 }
 
-// UnheardPeers returns how many peers that may serve callers have said nothing since this node started: all,
-// until one was heard, and then the hubs alone.
+// UnheardPeers returns how many peers that may serve callers have sent nothing since this node
+// started: all peers until one is heard, afterwards only the hubs.
 func (g *Gossip) UnheardPeers() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	unheard, hubs := 0, 0
 	for name, p := range g.peers {
-		if !p.heard.IsZero() {
+		if !p.heardAt.IsZero() {
 			continue
 		}
 		unheard++
-		if g.few() || g.hubs[name] {
+		if g.fullMesh() || g.hubs[name] {
 			hubs++
 		}
 	}
@@ -163,7 +162,7 @@
 	return hubs
 }
 
-// AliveNodes returns how many nodes are alive, this one among them.
+// AliveNodes returns the number of nodes that are alive, this one included.
 func (g *Gossip) AliveNodes() int { return len(g.Peers(clock.Now())) + 1 }
 
 // Run sends and receives for a node until the context ends.
@@ -175,21 +174,21 @@
 		defer wg.Done()
 		g.receive()
 	}()
-	timer := time.NewTimer(every)
+	timer := time.NewTimer(roundInterval)
 	defer timer.Stop()
-	for turn := 0; ; {
-		rest := g.rest()
-		timer.Reset(time.Duration(rest) * every)
+	for round := 0; ; {
+		sleep := g.sleepRounds()
+		timer.Reset(time.Duration(sleep) * roundInterval)
 		select {
 		case <-ctx.Done():
 			g.conn.Close()
 			wg.Wait()
 			return
 		case <-g.promoted:
-			turn++
+			round++
 		case <-timer.C:
-			turn += rest
+			round += sleep
 		}
-		g.send(turn) // The timer's own time may be old where the process stood still.
+		g.send(round) // send reads the clock itself: the timer's time may be old if the process was stopped.
 	}
 }
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -13,9 +13,9 @@
 	"github.com/croftturn/croftturn/internal/testport"
 )
 
-// node says what it is told to say and keeps what it hears.
+// node reports a fixed state and records what it receives.
 type node struct {
-	say gossip.State
+	state gossip.State
 
 	mu       sync.Mutex
 	heard    []gossip.State
@@ -23,7 +23,7 @@
 	changed  chan struct{}
 }
 
-func (n *node) LocalState(time.Time) gossip.State { return n.say }
+func (n *node) LocalState(time.Time) gossip.State { return n.state }
 
 func (n *node) HandlePeerState(_ time.Time, _ gossip.NodeInfo, s gossip.State, received time.Time) {
 	n.mu.Lock()
@@ -46,7 +46,7 @@
 	return address
 }
 
-// run starts a gossip and stops it at the end of the test.
+// run starts a Gossip and stops it at the end of the test.
 func run(t *testing.T, name, address string, n gossip.Node) (*gossip.Gossip, func()) {
 	t.Helper()
 	self := gossip.NodeInfo{Name: name, Incarnation: 7, PeerAddress: address, CallerAddress: "c-" + name, Hall: "h"}
@@ -66,12 +66,12 @@
 	return g, stop
 }
 
-// TestNodesHearEachOther holds that a node which one other was told of becomes
-// known, that what is said arrives whole, that the moment of receipt is between
-// the sending and now, and that a silent peer no longer counts as alive.
+// TestNodesHearEachOther checks that a node learns of another node that was only told of it, that
+// states arrive complete, that the receive time is between the sending and now, and that a silent peer
+// stops counting as alive.
 func TestNodesHearEachOther(t *testing.T) {
 	a := &node{changed: make(chan struct{}, 1)}
-	b := &node{changed: make(chan struct{}, 1), say: gossip.State{
+	b := &node{changed: make(chan struct{}, 1), state: gossip.State{
 		Ready: true, ConfigVersion: 3, ProofAgeMs: 12, StoreFailureAgeMs: -1, Versions: map[string]int64{"t": 9},
 		Loads: map[string]placement.Load{"e": {Unread: 1, InFlight: 2, Streams: 3}}, Uses: []placement.Use{{Engine: "e", Part: 5}},
 	}}
@@ -85,17 +85,17 @@
 		select {
 		case <-a.changed:
 		case <-deadline:
-			t.Fatal("nothing heard that answers a message")
+			t.Fatal("no acknowledged message arrived")
 		}
 		a.mu.Lock()
 		received = a.received[len(a.received)-1]
-		said := a.heard[len(a.heard)-1]
+		state := a.heard[len(a.heard)-1]
 		a.mu.Unlock()
 		if !received.IsZero() && (received.Before(begin) || received.After(time.Now())) {
 			t.Errorf("received at %v, begun at %v", received, begin)
 		}
-		if !said.Ready || said.ConfigVersion != 3 || said.ProofAgeMs != 12 || said.Versions["t"] != 9 || said.Loads["e"].Streams != 3 || said.Uses[0].Part != 5 {
-			t.Errorf("heard %+v", said)
+		if !state.Ready || state.ConfigVersion != 3 || state.ProofAgeMs != 12 || state.Versions["t"] != 9 || state.Loads["e"].Streams != 3 || state.Uses[0].Part != 5 {
+			t.Errorf("heard %+v", state)
 		}
 	}
 	peers := ga.Peers(time.Now())
@@ -108,20 +108,18 @@
 	}
 }
 
-// slow is a node that stops for a while after it has worked out what to say, as a
-// process does that freezes there.
+// slow is a node that pauses after it has collected its state, like a process that is stopped there.
 type slow struct{ node }
 
 func (s *slow) LocalState(time.Time) gossip.State {
 	at := time.Now()
-	time.Sleep(150 * time.Millisecond) // It stands still meanwhile.
+	time.Sleep(150 * time.Millisecond) // The process is stopped here.
 	return gossip.State{Versions: map[string]int64{"at": at.UnixNano()}}
 }
 
-// TestWhatIsSaidIsNotOlderThanItSeems holds that what a peer says was worked out
-// after it had received the message that it answers: else the age of a proof would
-// count from too late a moment.
-func TestWhatIsSaidIsNotOlderThanItSeems(t *testing.T) {
+// TestStateIsNotOlderThanItsAck checks that a peer collects its state after it received the message
+// that it acknowledges. Otherwise the age of a proof would be counted from too late a time.
+func TestStateIsNotOlderThanItsAck(t *testing.T) {
 	a := &node{changed: make(chan struct{}, 1)}
 	b := &slow{node{changed: make(chan struct{}, 1)}}
 	addressA, addressB := freeAddress(t), freeAddress(t)
@@ -143,7 +141,7 @@
 		}
 		seen++
 		if received.UnixNano() > at {
-			t.Fatalf("said %v before the message that it answers was sent", time.Duration(received.UnixNano()-at))
+			t.Fatalf("state collected %v before the acknowledged message was sent", time.Duration(received.UnixNano()-at))
 		}
 	}
 }
--- a/internal/gossip/hubs_test.go
+++ b/internal/gossip/hubs_test.go
@@ -17,35 +17,35 @@
 	"github.com/croftturn/croftturn/internal/placement"
 )
 
-// simulated is a node whose gossip runs in simulated time; it says what it is told to say.
+// simulated is a node whose gossip runs in simulated time; it reports the state set by a test.
 type simulated struct {
 	*Gossip
-	say   State
+	state State
 	dead  bool
-	next  int // next is the turn in which it sends.
-	turn  int // turn counts its own turns.
+	next  int // next is the round in which it sends next.
+	round int // round is the round in which it last sent.
 	sent  int
 	bytes int
 }
 
-func (s *simulated) LocalState(time.Time) State { return s.say }
+func (s *simulated) LocalState(time.Time) State { return s.state }
 
 func (s *simulated) HandlePeerState(time.Time, NodeInfo, State, time.Time) {}
 
-// network carries the messages of simulated nodes and loses some of them.
+// network carries the messages of simulated nodes and drops some of them.
 type network struct {
 	t     *testing.T
 	now   time.Time
-	turn  int
+	round int
 	loss  float64
 	seed  uint64
-	cut   func(o outgoing) bool // cut says that a message is lost; nil if none is by it.
+	cut   func(o outgoing) bool // cut reports whether a message is dropped in addition to random loss; it may be nil.
 	nodes map[string]*simulated
 	order []string
 }
 
-// newNetwork returns a network of halls with some nodes each, of which each third hall's
-// node is large, that all know each other from the register and have not yet spoken.
+// newNetwork returns a network of halls with some nodes each, the first three of them large. All nodes
+// know each other from the register and have not sent anything yet.
 func newNetwork(t *testing.T, halls, each int, loss float64, seed uint64) *network {
 	t.Helper()
 	n := &network{t: t, now: time.Unix(1000, 0), loss: loss, seed: seed, nodes: map[string]*simulated{}}
@@ -61,7 +61,7 @@
 		}
 	}
 	for _, s := range selves {
-		node := &simulated{Gossip: newGossip(s, log), say: State{Ready: true, StoreSilentMs: -1, StoreFailureAgeMs: -1, ProofAgeMs: 5, Versions: map[string]int64{"a": 1}}}
+		node := &simulated{Gossip: newGossip(s, log), state: State{Ready: true, StoreSilentMs: -1, StoreFailureAgeMs: -1, ProofAgeMs: 5, Versions: map[string]int64{"a": 1}}}
 		node.node = node
 		for _, other := range selves {
 			node.AddPeer(n.now, other)
@@ -72,28 +72,28 @@
 	return n
 }
 
-// run plays some time.
+// run simulates a period of time.
 func (n *network) run(d time.Duration) {
 	n.t.Helper()
-	for end := n.now.Add(d); n.now.Before(end); n.turn++ {
-		n.now = n.now.Add(every)
+	for end := n.now.Add(d); n.now.Before(end); n.round++ {
+		n.now = n.now.Add(roundInterval)
 		for _, name := range n.order {
-			if node := n.nodes[name]; !node.dead && (n.turn >= node.next || len(node.promoted) > 0) {
+			if node := n.nodes[name]; !node.dead && (n.round >= node.next || len(node.promoted) > 0) {
 				n.send(node)
 			}
 		}
 	}
 }
 
-// send plays a turn of one node.
+// send simulates a round of one node.
 func (n *network) send(node *simulated) {
 	n.t.Helper()
 	select {
 	case <-node.promoted:
 	default:
 	}
-	node.turn = n.turn
-	for _, o := range node.compose(func() time.Time { return n.now }, n.turn) {
+	node.round = n.round
+	for _, o := range node.compose(func() time.Time { return n.now }, n.round) {
 		raw, err := cbor.Marshal(o.message)
 		if err != nil {
 			n.t.Fatal(err)
@@ -108,24 +108,24 @@
 		if err != nil {
 			n.t.Fatal(err)
 		}
-		to.take(n.now, o.message, addr)
+		to.handleMessage(n.now, o.message, addr)
 	}
-	node.next = n.turn + node.rest()
+	node.next = n.round + node.sleepRounds()
 }
 
-// loses reports whether the message of this turn from one node to another is lost. It hangs
-// on nothing else, so that a test plays the same each time, whatever the order of messages.
+// loses reports whether this round's message from one node to another is lost. It depends on nothing
+// else, so a test gives the same result in each run whatever the order of messages.
 func (n *network) loses(from, to string) bool {
-	drawn := xxhash.Sum64String(fmt.Sprint(n.seed, from, to, n.turn))
+	drawn := xxhash.Sum64String(fmt.Sprint(n.seed, from, to, n.round))
 	return float64(drawn)/math.MaxUint64 < n.loss
 }
 
-// agreeWithin plays until all agree and fails the test if that takes too long.
+// agreeWithin runs until all nodes agree, and fails the test if that takes too long.
 func (n *network) agreeWithin(halls int, within time.Duration) {
 	n.t.Helper()
 	begin := n.now
-	for n.run(every); n.agree(halls) != nil && n.now.Sub(begin) < within; {
-		n.run(every)
+	for n.run(roundInterval); n.agree(halls) != nil && n.now.Sub(begin) < within; {
+		n.run(roundInterval)
 	}
 	if err := n.agree(halls); err != nil {
 		n.t.Fatalf("after %v: %v", n.now.Sub(begin), err)
@@ -133,7 +133,7 @@
 	n.t.Logf("all agree after %v", n.now.Sub(begin))
 }
 
-// hubs returns the hubs of a hall that are alive.
+// hubs returns the hubs of a hall that are running.
 func (n *network) hubs(hall string) []string {
 	var out []string
 	for _, name := range n.order {
@@ -144,8 +144,8 @@
 	return out
 }
 
-// agree reports whether each living node of a hall names the hubs of the hall alone, and
-// whether each hub knows those of the other halls.
+// agree returns an error unless each running node takes exactly the hubs of its hall for hubs there,
+// and each hub those of the other halls.
 func (n *network) agree(halls int) error {
 	for h := range halls {
 		hall := fmt.Sprint("h", h)
@@ -177,20 +177,19 @@
 	return nil
 }
 
-// TestMessagesDoNotGrowWithTheNodes holds that soon after 200 nodes have started together
-// all agree on a few hubs a hall, what a hub and a spoke then send, and that a spoke hears
-// at once of new tables.
-func TestMessagesDoNotGrowWithTheNodes(t *testing.T) {
+// TestMessageRateIsBounded checks that 200 nodes that start together soon agree on a few hubs per
+// hall, how much hubs and spokes then send, and that new table versions reach spokes at once.
+func TestMessageRateIsBounded(t *testing.T) {
 	const halls, each = 5, 40
 	n := newNetwork(t, halls, each, 0.01, 1)
-	n.agreeWithin(halls, 3500*time.Millisecond) // A spoke's message that is lost is followed a second later.
+	n.agreeWithin(halls, 3500*time.Millisecond) // A spoke sends its next message a second after a lost one.
 	for _, node := range n.nodes {
 		node.sent, node.bytes = 0, 0
 		if node.IsHub() {
-			node.say.Rate = 60
-			node.say.Loads = map[string]placement.Load{}
+			node.state.Rate = 60
+			node.state.Loads = map[string]placement.Load{}
 			for i := range 25 {
-				node.say.Loads[fmt.Sprintf("i-%010d", i)] = placement.Load{Unread: 4000, InFlight: 2}
+				node.state.Loads[fmt.Sprintf("i-%010d", i)] = placement.Load{Unread: 4000, InFlight: 2}
 			}
 		}
 	}
@@ -214,8 +213,8 @@
 		t.Errorf("%d hubs, %d messages a second of %d nodes", hubs, sent/seconds, len(n.nodes))
 	}
 	first := n.hubs("h0")[0]
-	n.nodes[first].say.Versions = map[string]int64{"a": 2}
-	n.run(2 * every)
+	n.nodes[first].state.Versions = map[string]int64{"a": 2}
+	n.run(2 * roundInterval)
 	late := 0
 	for _, node := range n.nodes {
 		if p := node.peers[first]; node.self.Hall == "h0" && node.self.Name != first && p.State.Versions["a"] != 2 {
@@ -223,11 +222,11 @@
 		}
 	}
 	if late > 4 {
-		t.Errorf("%d of %d nodes of the hall have not heard of the new table, want those alone whose message was lost", late, each)
+		t.Errorf("%d of %d nodes of the hall do not know the new table version, want only those whose message was lost", late, each)
 	}
 }
 
-// killAfterStart plays a start and kills some nodes.
+// killAfterStart runs a start and then kills some nodes.
 func (n *network) killAfterStart(dies func(n *network, i int, name string) bool) {
 	n.t.Helper()
 	n.run(4 * time.Second)
@@ -242,10 +241,10 @@
 	}
 }
 
-// TestHubsThatDieAreReplaced holds that all agree on others soon after the hubs of a hall
-// have died: one of them, all of them, and all large nodes and half of the others of all
-// halls; and a message between hub and spoke later where a hundredth of the messages is lost.
-func TestHubsThatDieAreReplaced(t *testing.T) {
+// TestDeadHubsAreReplaced checks that all nodes soon agree on new hubs after the death of one hub, of
+// all hubs of a hall, and of all large nodes and half of the others. If one message in a hundred is
+// lost, that may take one more message between hub and spoke.
+func TestDeadHubsAreReplaced(t *testing.T) {
 	const halls, each = 3, 40
 	tests := []struct {
 		name   string
@@ -268,7 +267,7 @@
 			t.Run(fmt.Sprint(test.name, ", messages lost, seed ", seed), func(t *testing.T) {
 				n := newNetwork(t, halls, each, 0.01, seed)
 				n.killAfterStart(test.dies)
-				n.agreeWithin(halls, test.within+spokeTurns*every)
+				n.agreeWithin(halls, test.within+spokeRounds*roundInterval)
 				n.run(2 * time.Second)
 				if err := n.agree(halls); err != nil {
 					t.Errorf("two seconds later: %v", err)
@@ -278,10 +277,10 @@
 	}
 }
 
-// TestARestartedSpokeIsAnsweredAtOnce holds that a spoke which has started anew hears from a
-// hub in the turn after its first message, not when its next message is due: until then it
-// does not know the engines.
-func TestARestartedSpokeIsAnsweredAtOnce(t *testing.T) {
+// TestRestartedSpokeIsAnsweredInNextRound checks that a restarted spoke hears from a hub in the round
+// after its first message and not only when the hub's next message is due: until then it does not know
+// the engines.
+func TestRestartedSpokeIsAnsweredInNextRound(t *testing.T) {
 	n := newNetwork(t, 2, 20, 0, 1)
 	n.run(4 * time.Second)
 	for i := 5; i < 15; i++ {
@@ -291,23 +290,23 @@
 		}
 		self := old.self
 		self.Incarnation++
-		fresh := &simulated{Gossip: newGossip(self, old.log), say: State{Ready: true, StoreSilentMs: -1, StoreFailureAgeMs: -1}}
+		fresh := &simulated{Gossip: newGossip(self, old.log), state: State{Ready: true, StoreSilentMs: -1, StoreFailureAgeMs: -1}}
 		fresh.node = fresh
 		for _, name := range n.order {
 			fresh.AddPeer(n.now, n.nodes[name].self)
 		}
 		n.nodes[self.Name] = fresh
-		n.run(3 * every)
+		n.run(3 * roundInterval)
 		if len(fresh.Hubs(n.now)) == 0 {
-			t.Errorf("%s has heard no hub %v after its start", self.Name, 3*every)
+			t.Errorf("%s has heard no hub %v after its start", self.Name, 3*roundInterval)
 		}
 	}
 }
 
-// TestASpokeThatBecomesAHubTalksToFewNodesOfOtherHalls holds that a spoke knows no hubs of
-// other halls, and that one which becomes a hub after some time takes few nodes of each other
-// hall for its hubs until it hears them, not all.
-func TestASpokeThatBecomesAHubTalksToFewNodesOfOtherHalls(t *testing.T) {
+// TestPromotedSpokeContactsFewRemoteNodes checks that a spoke that becomes a hub after some time takes
+// only a few nodes of each other hall for hubs until it hears hubs there. A spoke knows no remote
+// hubs, and must not treat that as a long silence.
+func TestPromotedSpokeContactsFewRemoteNodes(t *testing.T) {
 	n := newNetwork(t, 3, 40, 0, 1)
 	n.run(12 * time.Second)
 	var spokes []*simulated
@@ -315,7 +314,7 @@
 		node := n.nodes[name]
 		switch {
 		case node.self.Hall != "h0":
-		case node.hub:
+		case node.isHub:
 			node.dead = true
 		default:
 			spokes = append(spokes, node)
@@ -323,14 +322,14 @@
 	}
 	promoted := func() *simulated {
 		for _, node := range spokes {
-			if node.hub {
+			if node.isHub {
 				return node
 			}
 		}
 		return nil
 	}
 	for end := n.now.Add(5 * time.Second); promoted() == nil && n.now.Before(end); {
-		n.run(every)
+		n.run(roundInterval)
 	}
 	node := promoted()
 	if node == nil {
@@ -343,36 +342,37 @@
 		}
 	}
 	for _, hall := range []string{"h1", "h2"} {
-		if hubs[hall] == 0 || hubs[hall] > firstHubs {
-			t.Errorf("it takes %d nodes of hall %s for hubs, want 1 to %d", hubs[hall], hall, firstHubs)
+		if hubs[hall] == 0 || hubs[hall] > initialHubs {
+			t.Errorf("the promoted spoke takes %d nodes of hall %s for hubs, want 1 to %d", hubs[hall], hall, initialHubs)
 		}
 	}
 }
 
-// TestASpokeIsToldOfNewHubsAgain guards against a spoke without a hub that hears one all the time: the hubs that this one names
-// are not known to it, since the message was lost that says how they are reached.
-func TestASpokeIsToldOfNewHubsAgain(t *testing.T) {
+// TestChosenHubsAreResent guards against a spoke that hears a hub but has no hub itself: the message
+// with the addresses of the chosen hubs was lost, so the spoke does not know the hubs that are
+// advertised to it.
+func TestChosenHubsAreResent(t *testing.T) {
 	n := newNetwork(t, 1, 40, 0, 1)
 	n.run(4 * time.Second)
 	hubs := n.hubs("h0")
 	spoke := n.nodes[n.order[len(n.order)-1]]
-	for _, name := range n.order { // Nodes know the hubs alone, as where the hall's head in the register does not hold the others.
+	for _, name := range n.order { // Nodes know only the hubs, as if the register head of the hall did not hold the others.
 		maps.DeleteFunc(n.nodes[name].peers, func(other string, _ *Peer) bool { return !slices.Contains(hubs, name) && !slices.Contains(hubs, other) })
 	}
 	for _, name := range hubs {
-		n.nodes[name].say.Stopping = true
+		n.nodes[name].state.Stopping = true
 	}
 	n.cut = func(o outgoing) bool { return o.to.Name == spoke.self.Name }
 	n.run(time.Second)
 	n.cut = nil
 	var without time.Duration
 	for range 80 {
-		n.run(every)
+		n.run(roundInterval)
 		if len(spoke.Hubs(n.now)) == 0 {
-			without += every
+			without += roundInterval
 		}
 	}
-	if without > spokeTurns*every {
-		t.Errorf("a spoke that hears hubs counts none as one for %v of 8 s", without)
+	if without > spokeRounds*roundInterval {
+		t.Errorf("a spoke that hears hubs had no hub for %v of 8 s", without)
 	}
 }
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -14,41 +14,42 @@
 )
 
 type (
-	// NodeInfo is what a node says of itself.
+	// NodeInfo identifies a node and says how to reach it.
 	NodeInfo struct {
 		Name          string
 		Incarnation   int64
-		PeerAddress   string // PeerAddress takes datagrams.
+		PeerAddress   string // PeerAddress receives datagrams.
 		CallerAddress string
 		Hall          string
-		Cores         float64 // Cores is the processor that it may use; 0 if it does not say.
+		Cores         float64 // Cores is the processor share that the node may use; 0 if it is not reported.
 	}
 
-	// State is what a node tells its peers of its state, besides who it is. Fields go by their numbers, so that nodes of one release
-	// and the next understand each other while a release rolls: what is not known is passed over, and what is not told is
-	// zero. A number is never used again for something else, and a new field's zero says that nothing is told.
+	// State is what a node sends its peers besides its NodeInfo. Fields are encoded by number, so that
+	// nodes of two successive releases understand each other during a rolling upgrade: unknown fields
+	// are ignored, and missing ones are zero. A number must never be reused for another meaning, and
+	// the zero value of a new field must mean that nothing was reported.
 	State struct {
-		Ready             bool                         `cbor:"1,keyasint,omitempty"`  // Ready says that it takes callers.
-		Stopping          bool                         `cbor:"2,keyasint,omitempty"`  // Stopping says that it ends soon.
-		Rate              float32                      `cbor:"3,keyasint,omitempty"`  // Rate is how many requests a second it serves.
-		Loads             map[string]placement.Load    `cbor:"4,keyasint,omitempty"`  // Loads is its own work, by engine.
-		Uses              []placement.Use              `cbor:"5,keyasint,omitempty"`  // Uses are the prompt parts it gave to engines since it last spoke to the receiver.
-		Versions          map[string]int64             `cbor:"6,keyasint,omitempty"`  // Versions are those of its tables.
-		ConfigVersion     int                          `cbor:"7,keyasint,omitempty"`  // ConfigVersion is of the configuration in force there.
-		ProofAgeMs        int64                        `cbor:"8,keyasint,omitempty"`  // ProofAgeMs is the age of the proof that this is the newest; -1 for none.
-		CannotReadStore   bool                         `cbor:"9,keyasint,omitempty"`  // CantRead says that it leaves reading the platform's store to others for now.
-		StoreSilentMs     int64                        `cbor:"10,keyasint,omitempty"` // SilentMs is how long a node that reads the store has had no answer; -1 if it does not read.
-		StoreFailureAgeMs int64                        `cbor:"11,keyasint,omitempty"` // LostAgeMs is how long ago its last call failed; -1 if never.
-		Places            map[string][]dispatch.Places `cbor:"12,keyasint,omitempty"` // Places tells how the tiers fared, by pool.
-		Holder            Holder                       `cbor:"13,keyasint,omitempty"` // Holder is who holds the system's duties, as the sender knows.
-		Crashing          []quarantine.Told            `cbor:"14,keyasint,omitempty"` // Crashing are requests under which engines ended: what was learned of them lately, and all that are held.
-		Nodes             NodeCount                    `cbor:"15,keyasint,omitzero"`  // Nodes is how many nodes a hub knows of.
-		ChosenHubs        []HubInfo                    `cbor:"16,keyasint,omitempty"` // Chosen are the hubs that a hub wants in its hall, for those that may not know them.
-		Limits            []limit.Told                 `cbor:"17,keyasint,omitempty"` // Limits are the limits of engines, and which of them have ended lately.
-		Leaving           []discovery.Told             `cbor:"18,keyasint,omitempty"` // Leaving are engines that said in their answers that they leave.
+		Ready             bool                         `cbor:"1,keyasint,omitempty"`  // Ready says that the node takes callers.
+		Stopping          bool                         `cbor:"2,keyasint,omitempty"`  // Stopping says that the node is shutting down.
+		Rate              float32                      `cbor:"3,keyasint,omitempty"`  // Rate is the number of requests served per second.
+		Loads             map[string]placement.Load    `cbor:"4,keyasint,omitempty"`  // Loads is the node's own load by engine.
+		Uses              []placement.Use              `cbor:"5,keyasint,omitempty"`  // Uses are the prompt parts sent to engines since the last message to the receiver.
+		Versions          map[string]int64             `cbor:"6,keyasint,omitempty"`  // Versions are the versions of the node's tables.
+		ConfigVersion     int                          `cbor:"7,keyasint,omitempty"`  // ConfigVersion is the version of the configuration in force.
+		ProofAgeMs        int64                        `cbor:"8,keyasint,omitempty"`  // ProofAgeMs is the age of the proof that this version is the newest; -1 for none.
+		CannotReadStore   bool                         `cbor:"9,keyasint,omitempty"`  // CannotReadStore says that the node leaves reading the platform's store to others for now.
+		StoreSilentMs     int64                        `cbor:"10,keyasint,omitempty"` // StoreSilentMs is how long a node that reads the store has had no answer; -1 if it does not read.
+		StoreFailureAgeMs int64                        `cbor:"11,keyasint,omitempty"` // StoreFailureAgeMs is the time since its last call to the store failed; -1 if none has.
+		Places            map[string][]dispatch.Places `cbor:"12,keyasint,omitempty"` // Places holds recent results of the tiers, by pool.
+		Holder            Holder                       `cbor:"13,keyasint,omitempty"` // Holder is the duty holder known to the sender.
+		Crashing          []quarantine.Told            `cbor:"14,keyasint,omitempty"` // Crashing are requests under which engines ended: recent entries, or all that are held.
+		Nodes             NodeCount                    `cbor:"15,keyasint,omitzero"`  // Nodes is the number of nodes that a hub knows.
+		ChosenHubs        []HubInfo                    `cbor:"16,keyasint,omitempty"` // ChosenHubs are the hubs that a hub chose for its hall, for receivers that may not know them.
+		Limits            []limit.Told                 `cbor:"17,keyasint,omitempty"` // Limits are the limits of engines, including limits that ended recently.
+		Leaving           []discovery.Told             `cbor:"18,keyasint,omitempty"` // Leaving are engines that announced in an answer that they leave.
 	}
 
-	// HubInfo is a node of the sender's hall, as others reach it.
+	// HubInfo identifies a hub in the sender's hall and says how to reach it.
 	HubInfo struct {
 		_             struct{} `cbor:",toarray"`
 		Name          string
@@ -58,49 +59,49 @@
 		Cores         float64
 	}
 
-	// NodeCount is how many nodes a hub knows of: those of its hall and those of all.
+	// NodeCount is the number of nodes that a hub knows, in its hall and in all halls.
 	NodeCount struct {
 		_         struct{} `cbor:",toarray"`
 		Hall, All int
 	}
 
-	// Holder is the node that acts for all towards the platform.
+	// Holder is the node that acts for all nodes towards the platform.
 	Holder struct {
 		_       struct{} `cbor:",toarray"`
-		Token   int64    // Token is of its term; 0 for none.
-		Address string   // Address is where peers call it.
-		AgeMs   int64    // AgeMs is how long ago it said so; -1 where it gave the term up.
+		Token   int64    // Token is the fencing token of its term; 0 for none.
+		Address string   // Address is the holder's address for peers.
+		AgeMs   int64    // AgeMs is the time since the holder confirmed its term; -1 if it has given the term up.
 	}
 
 	// Peer is another node.
 	Peer struct {
 		NodeInfo
-		State State
-		heard time.Time
-		met   time.Time
-		addr  *net.UDPAddr
-		echo  uint32   // echo is the number of the newest message from the peer.
-		sent  int      // sent counts the messages to the peer.
-		hubs  []string // hubs are those that the peer, being a hub, wants in its hall.
-		due   int      // due is the turn of the next message to the peer.
-		got   uint32   // got is the number of the newest message that the peer has of this node, as it said.
+		State      State
+		heardAt    time.Time
+		addedAt    time.Time
+		addr       *net.UDPAddr
+		lastSeq    uint32   // lastSeq is the sequence number of the newest message from the peer.
+		sentCount  int      // sentCount counts the messages sent to the peer.
+		chosenHubs []string // chosenHubs are the hubs that the peer, as a hub, chose for its hall.
+		nextRound  int      // nextRound is the round of the next message to the peer.
+		ackedSeq   uint32   // ackedSeq is the sequence number that the peer last acknowledged.
 
-		chose    int    // chose is which choice of hubs the peer is told.
-		choseSeq uint32 // choseSeq is the number of the first message that told it.
+		choiceVersion int    // choiceVersion is the hub choice that is being sent to the peer.
+		choiceSeq     uint32 // choiceSeq is the sequence number of the first message with that choice.
 	}
 
 	// message is one datagram.
 	message struct {
-		_           struct{} `cbor:",toarray"`
-		Echo        uint32   // Echo is the number of the newest message that the sender has from the receiver.
-		Seq         uint32   // Seq numbers the sender's messages.
-		Name        string
-		Incarnation int64
-		Peer        string // Peer, Caller, Hall and Cores are empty where the receiver knows them.
-		Caller      string
-		Hall        string
-		Cores       float64
-		Hubs        []string // Hubs are the hubs of the sender's hall, where it is one.
-		State       cbor.RawMessage
+		_             struct{} `cbor:",toarray"`
+		Ack           uint32   // Ack is the sequence number of the newest message that the sender has from the receiver.
+		Seq           uint32   // Seq is the sequence number of this message.
+		Name          string
+		Incarnation   int64
+		PeerAddress   string // PeerAddress, CallerAddress, Hall and Cores are empty if the receiver knows them.
+		CallerAddress string
+		Hall          string
+		Cores         float64
+		Hubs          []string // Hubs are the hubs that the sender, as a hub, chose for its hall.
+		State         cbor.RawMessage
 	}
 )
--- a/internal/gossip/message_test.go
+++ b/internal/gossip/message_test.go
@@ -9,9 +9,9 @@
 	"github.com/croftturn/croftturn/internal/gossip"
 )
 
-// TestReleasesUnderstandEachOther holds that what a node says is understood by one whose release knows fewer fields, and by one
-// whose release knows more, in each of what it says and of its places.
-func TestReleasesUnderstandEachOther(t *testing.T) {
+// TestStateIsCompatibleAcrossReleases checks that a state, including its places, can be decoded by a
+// release that knows fewer fields and by one that knows more.
+func TestStateIsCompatibleAcrossReleases(t *testing.T) {
 	type (
 		olderPlaces struct {
 			Tier  int `cbor:"1,keyasint,omitempty"`
@@ -32,28 +32,28 @@
 			Newer  []string                 `cbor:"99,keyasint"`
 		}
 	)
-	said := gossip.State{Ready: true, Rate: 3, ProofAgeMs: -1, Places: map[string][]dispatch.Places{"p": {{Tier: 2, Asked: 7, Lacked: 1, Late: 2, Reading: 900}}}}
+	state := gossip.State{Ready: true, Rate: 3, ProofAgeMs: -1, Places: map[string][]dispatch.Places{"p": {{Tier: 2, Asked: 7, Lacked: 1, Late: 2, Reading: 900}}}}
 
 	var old older
-	translate(t, said, &old)
+	translate(t, state, &old)
 	if !old.Ready || old.Rate != 3 || len(old.Places["p"]) != 1 || old.Places["p"][0] != (olderPlaces{Tier: 2, Asked: 7}) {
-		t.Errorf("the older release understands %+v", old)
+		t.Errorf("the older release decodes %+v", old)
 	}
 
 	var got gossip.State
-	translate(t, newer{Ready: true, Places: map[string][]newerPlaces{"p": {{Places: said.Places["p"][0], Newer: 1}}}, Newer: []string{"x"}}, &got)
-	if !got.Ready || len(got.Places["p"]) != 1 || got.Places["p"][0] != said.Places["p"][0] {
-		t.Errorf("of the newer release is understood %+v", got)
+	translate(t, newer{Ready: true, Places: map[string][]newerPlaces{"p": {{Places: state.Places["p"][0], Newer: 1}}}, Newer: []string{"x"}}, &got)
+	if !got.Ready || len(got.Places["p"]) != 1 || got.Places["p"][0] != state.Places["p"][0] {
+		t.Errorf("from the newer release is decoded %+v", got)
 	}
 
 	var same gossip.State
-	translate(t, said, &same)
-	if same.ProofAgeMs != -1 || same.Places["p"][0] != said.Places["p"][0] {
-		t.Errorf("the same release understands %+v", same)
+	translate(t, state, &same)
+	if same.ProofAgeMs != -1 || same.Places["p"][0] != state.Places["p"][0] {
+		t.Errorf("the same release decodes %+v", same)
 	}
 }
 
-// translate encodes what one release says and decodes it as another does.
+// translate encodes a value of one release and decodes it as another does.
 func translate(t *testing.T, from, to any) {
 	t.Helper()
 	raw, err := cbor.Marshal(from)
--- a/internal/gossip/receive.go
+++ b/internal/gossip/receive.go
@@ -11,10 +11,10 @@
 	"github.com/croftturn/croftturn/internal/clock"
 )
 
-// maxDatagram is the longest message that is read, in bytes.
+// maxDatagram is the longest datagram that is read, in bytes.
 const maxDatagram = 60 << 10
 
-// receive takes messages until the connection is closed.
+// receive handles messages until the connection is closed.
 func (g *Gossip) receive() {
 	buf := make([]byte, maxDatagram)
 	for {
@@ -23,89 +23,88 @@
 			return
 		}
 		if err != nil {
-			g.log.Debug("message from peer not received", "error", err.Error())
+			g.log.Debug("receiving message from peer failed", "error", err.Error())
 			continue
 		}
 		var m message
 		if err := cbor.Unmarshal(buf[:n], &m); err != nil {
-			g.log.Warn("message from peer not understood", "from", from.String(), "error", err.Error())
+			g.log.Warn("invalid message from peer", "from", from.String(), "error", err.Error())
 			continue
 		}
-		g.take(clock.Now(), m, from)
+		g.handleMessage(clock.Now(), m, from)
 	}
 }
 
-// take takes a message from a peer and tells the node what it says.
-func (g *Gossip) take(now time.Time, m message, from *net.UDPAddr) {
+// handleMessage updates the sender's entry and passes its state to the node.
+func (g *Gossip) handleMessage(now time.Time, m message, from *net.UDPAddr) {
 	if m.Name == g.self.Name {
 		return
 	}
-	var said State
-	if err := cbor.Unmarshal(m.State, &said); err != nil {
-		g.log.Warn("message from peer not understood", "peer", m.Name, "error", err.Error())
+	var state State
+	if err := cbor.Unmarshal(m.State, &state); err != nil {
+		g.log.Warn("invalid message from peer", "peer", m.Name, "error", err.Error())
 		return
 	}
-	if self, received, ok := g.believe(now, m, said, from); ok {
-		g.meetChosen(now, self.Hall, said.ChosenHubs)
-		g.node.HandlePeerState(now, self, said, received)
+	if self, received, ok := g.updatePeer(now, m, state, from); ok {
+		g.addChosenHubs(now, self.Hall, state.ChosenHubs)
+		g.node.HandlePeerState(now, self, state, received)
 	}
 }
 
-// believe keeps what a peer says of itself, unless a newer incarnation of it is
-// alive. An older one alone is believed: the clock that numbers incarnations may
-// have been set back between two starts. It returns who the peer is, and when this
-// node sent the message that the peer answers; ok is false where the message says
-// nothing new.
-func (g *Gossip) believe(now time.Time, m message, said State, from *net.UDPAddr) (self NodeInfo, received time.Time, ok bool) {
-	self = NodeInfo{Name: m.Name, Incarnation: m.Incarnation, PeerAddress: m.Peer, CallerAddress: m.Caller, Hall: m.Hall, Cores: m.Cores}
+// updatePeer stores the state of a peer, unless a newer incarnation of the peer is alive. An older
+// incarnation is accepted if the newer one is silent: the clock that numbers incarnations may have
+// been set back between two starts. It returns the peer's NodeInfo and when this node sent the message
+// that the peer acknowledges; ok is false if the message is outdated or its sender unknown.
+func (g *Gossip) updatePeer(now time.Time, m message, state State, from *net.UDPAddr) (self NodeInfo, received time.Time, ok bool) {
+	self = NodeInfo{Name: m.Name, Incarnation: m.Incarnation, PeerAddress: m.PeerAddress, CallerAddress: m.CallerAddress, Hall: m.Hall, Cores: m.Cores}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	p := g.peers[m.Name]
-	if p != nil && p.Incarnation > m.Incarnation && g.heardLately(now, p) {
+	if p != nil && p.Incarnation > m.Incarnation && g.heardRecently(now, p) {
 		return NodeInfo{}, time.Time{}, false
 	}
 	same := p != nil && p.Incarnation == m.Incarnation
 	switch {
-	case m.Peer == "" && !same:
-		return NodeInfo{}, time.Time{}, false // Who it is comes with one of its next messages.
-	case m.Peer == "":
+	case m.PeerAddress == "" && !same:
+		return NodeInfo{}, time.Time{}, false // One of the peer's next messages has its NodeInfo.
+	case m.PeerAddress == "":
 		self = p.NodeInfo
 	}
-	if !same || !g.heardLately(now, p) {
-		g.log.Info("peer heard", "peer", m.Name, "incarnation", m.Incarnation, "address", m.Peer, "ready", said.Ready)
+	if !same || !g.heardRecently(now, p) {
+		g.log.Info("peer heard", "peer", m.Name, "incarnation", m.Incarnation, "address", m.PeerAddress, "ready", state.Ready)
 	}
 	if p == nil {
-		p = &Peer{met: now}
+		p = &Peer{addedAt: now}
 		g.peers[m.Name] = p
 	}
 	if !same {
-		p.due = 0 // It knows nothing yet: it is answered in the next turn.
+		p.nextRound = 0 // The peer has no state from this node yet, so it is answered in the next round.
 	}
-	if !same || !g.heardLately(now, p) {
-		p.sent = 0 // It is told all that it has missed.
+	if !same || !g.heardRecently(now, p) {
+		p.sentCount = 0 // The peer gets the full state again.
 	}
-	if same && m.Seq < p.echo {
-		return NodeInfo{}, time.Time{}, false // It was overtaken by a newer one.
+	if same && m.Seq < p.lastSeq {
+		return NodeInfo{}, time.Time{}, false // A newer message overtook this one.
 	}
-	if !g.hub && slices.Contains(m.Hubs, g.self.Name) {
+	if !g.isHub && slices.Contains(m.Hubs, g.self.Name) {
 		g.wake()
 	}
-	p.NodeInfo, p.State, p.hubs, p.heard, p.addr, p.echo, p.got = self, said, m.Hubs, now, from, m.Seq, m.Echo
-	return self, g.sentAt(m.Echo), true
+	p.NodeInfo, p.State, p.chosenHubs, p.heardAt, p.addr, p.lastSeq, p.ackedSeq = self, state, m.Hubs, now, from, m.Seq, m.Ack
+	return self, g.sendTime(m.Ack), true
 }
 
-// wake ends the rest of a spoke that is to be a hub.
+// wake ends the sleep of a spoke that was chosen as a hub.
 func (g *Gossip) wake() {
 	select {
 	case g.promoted <- struct{}{}:
-	default: // It was told already.
+	default: // A wake-up is already pending.
 	}
 }
 
-// sentAt returns when a message was sent, or zero if that is forgotten.
-func (g *Gossip) sentAt(seq uint32) time.Time {
-	if seq == 0 || seq > g.seq || g.seq-seq >= remembered {
+// sendTime returns when a message was sent; zero if that is no longer known.
+func (g *Gossip) sendTime(seq uint32) time.Time {
+	if seq == 0 || seq > g.seq || g.seq-seq >= sentHistory {
 		return time.Time{}
 	}
-	return g.sent[seq%remembered]
+	return g.sentTimes[seq%sentHistory]
 }
--- a/internal/gossip/send.go
+++ b/internal/gossip/send.go
@@ -12,73 +12,73 @@
 	"github.com/croftturn/croftturn/internal/quarantine"
 )
 
-// outgoing is a message on its way to a peer.
+// outgoing is a message with its target.
 type outgoing struct {
 	to target
 	message
 }
 
-// content is what tells what is said to one peer from what is said to another.
-type content struct {
-	turns  int  // turns is how many turns the message tells of.
-	all    bool // all says that it tells of all requests that are held, all limits and all engines that leave, not only what is new of them.
-	chosen bool // chosen says that it tells how to reach the hubs of the hall.
+// payloadKind distinguishes the payloads of a round; targets of the same kind share one.
+type payloadKind struct {
+	rounds   int  // rounds is the number of rounds that the payload covers.
+	full     bool // full says that the payload has all held requests, limits and leaving engines, not only recent entries.
+	withHubs bool // withHubs says that the payload has the addresses of the chosen hubs.
 }
 
-// told returns what is told of a list that begins with what is newest: what is new, or all. age returns how long ago the sender
-// learned of an entry.
-func told[T any](c content, list []T, age func(T) time.Duration) []T {
-	if c.all {
+// selectEntries returns the entries of a list, sorted newest first, that go into a payload: all or
+// only recent ones. age returns how long ago the sender learned of an entry.
+func selectEntries[T any](c payloadKind, list []T, age func(T) time.Duration) []T {
+	if c.full {
 		return list
 	}
-	return news.Recent(list, age, time.Duration(c.turns+newsTurns)*every)
+	return news.Recent(list, age, time.Duration(c.rounds+updateRounds)*roundInterval)
 }
 
-// send tells the peers of this node.
-func (g *Gossip) send(turn int) {
-	for _, o := range g.compose(clock.Now, turn) {
+// send sends the messages of a round.
+func (g *Gossip) send(round int) {
+	for _, o := range g.compose(clock.Now, round) {
 		g.sendTo(o)
 	}
 }
 
-// compose returns the messages of a turn. Whom they answer is settled before what they
-// say is worked out: receivers count ages in it from when they sent the message
-// that it answers, so that it must not be older.
-func (g *Gossip) compose(clock func() time.Time, turn int) []outgoing {
+// compose returns the messages of a round. The targets, and with them the acknowledged messages, are
+// fixed before the state is collected: receivers count ages from the time they sent the acknowledged
+// message, so the state must not be older than that.
+func (g *Gossip) compose(clock func() time.Time, round int) []outgoing {
 	before := clock()
 	g.UpdateHubs(before)
-	targets := g.targets(before, turn)
+	targets := g.targets(before, round)
 	now := clock()
-	said := g.node.LocalState(now)
-	said.Nodes = g.tellCount()
-	chosen := g.told(said)
-	g.uses[turn%len(g.uses)] = said.Uses
+	state := g.node.LocalState(now)
+	state.Nodes = g.advertisedCount()
+	chosen := g.recordState(state)
+	g.recentUses[round%len(g.recentUses)] = state.Uses
 	if len(targets) == 0 {
 		return nil
 	}
-	seq := g.number(now)
-	encoded := map[content]cbor.RawMessage{}
+	seq := g.nextSeq(now)
+	encoded := map[payloadKind]cbor.RawMessage{}
 	out := make([]outgoing, 0, len(targets))
 	for _, to := range targets {
-		of := content{turns: to.turns, all: to.sent%(allTurns/to.turns) == 0, chosen: to.chosen}
-		if encoded[of] == nil {
-			s := g.saidTo(said, turn, to.turns)
-			s.Crashing = told(of, said.Crashing, func(t quarantine.Told) time.Duration { return t.Age })
-			s.Limits = told(of, said.Limits, func(t limit.Told) time.Duration { return t.Age })
-			s.Leaving = told(of, said.Leaving, func(t discovery.Told) time.Duration { return t.Age })
-			if of.chosen {
-				s.ChosenHubs = g.knownChosen()
+		kind := payloadKind{rounds: to.rounds, full: to.sentCount%(fullStateRounds/to.rounds) == 0, withHubs: to.withHubs}
+		if encoded[kind] == nil {
+			s := g.stateFor(state, round, to.rounds)
+			s.Crashing = selectEntries(kind, state.Crashing, func(t quarantine.Told) time.Duration { return t.Age })
+			s.Limits = selectEntries(kind, state.Limits, func(t limit.Told) time.Duration { return t.Age })
+			s.Leaving = selectEntries(kind, state.Leaving, func(t discovery.Told) time.Duration { return t.Age })
+			if kind.withHubs {
+				s.ChosenHubs = g.chosenHubInfo()
 			}
 			raw, err := cbor.Marshal(s)
 			if err != nil {
-				g.log.Error("message to peers not encoded", "error", err.Error())
+				g.log.Error("encoding messages to peers failed", "error", err.Error())
 				return nil
 			}
-			encoded[of] = raw
+			encoded[kind] = raw
 		}
-		m := message{Echo: to.echo, Seq: seq, Name: g.self.Name, Incarnation: g.self.Incarnation, Hubs: chosen, State: encoded[of]}
-		if to.echo == 0 || to.sent%introduceEvery == 0 {
-			m.Peer, m.Caller, m.Hall, m.Cores = g.self.PeerAddress, g.self.CallerAddress, g.self.Hall, g.self.Cores
+		m := message{Ack: to.lastSeq, Seq: seq, Name: g.self.Name, Incarnation: g.self.Incarnation, Hubs: chosen, State: encoded[kind]}
+		if to.lastSeq == 0 || to.sentCount%infoInterval == 0 {
+			m.PeerAddress, m.CallerAddress, m.Hall, m.Cores = g.self.PeerAddress, g.self.CallerAddress, g.self.Hall, g.self.Cores
 		}
 		out = append(out, outgoing{to: to, message: m})
 	}
@@ -89,32 +89,32 @@
 func (g *Gossip) sendTo(o outgoing) {
 	packet, err := cbor.Marshal(o.message)
 	if err != nil {
-		g.log.Error("message to peer not encoded", "error", err.Error())
+		g.log.Error("encoding message to peer failed", "error", err.Error())
 		return
 	}
 	if _, err := g.conn.WriteToUDP(packet, o.to.addr); err != nil {
-		g.log.Debug("message to peer not sent", "peer", o.to.Name, "error", err.Error())
+		g.log.Debug("sending message to peer failed", "peer", o.to.Name, "error", err.Error())
 	}
 }
 
-// number returns the number of the next message and remembers when it is sent.
-func (g *Gossip) number(now time.Time) uint32 {
+// nextSeq returns the next sequence number and records its send time.
+func (g *Gossip) nextSeq(now time.Time) uint32 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.seq++
-	g.sent[g.seq%remembered] = now
+	g.sentTimes[g.seq%sentHistory] = now
 	return g.seq
 }
 
-// told records what this node tells, and whether its next messages are urgent. It returns
-// the hubs that the node wants in its hall, if it is one.
-func (g *Gossip) told(s State) []string {
+// recordState records the state being sent and whether it is urgent. It returns the hubs that this
+// node, as a hub, chose for its hall.
+func (g *Gossip) recordState(s State) []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.urgent = s.news(g.said)
+	g.urgent = s.hasNewVersions(g.lastState)
 	if g.urgent {
-		clear(g.uses[:]) // What was used before a change of engines may be of a former incarnation.
+		clear(g.recentUses[:]) // Uses from before a change of engines may belong to an earlier incarnation.
 	}
-	g.said = s
-	return g.chosen
+	g.lastState = s
+	return g.chosenHubs
 }
--- a/internal/gossip/start_test.go
+++ b/internal/gossip/start_test.go
@@ -16,21 +16,19 @@
 	"github.com/croftturn/croftturn/internal/register"
 )
 
-// table is the platform's table in memory; it counts what it is asked.
+// table is an in-memory platform table that counts reads and writes.
 type table struct {
-	rows         map[string][]feed.Row // rows are by part, in the order of their keys.
+	rows         map[string][]feed.Row // rows holds the rows by part, sorted by key.
 	version      int64
 	reads, bytes int
-	writes       map[string]int // writes are by part.
+	writes       map[string]int // writes counts writes by part.
 }
 
-// List returns all rows of a part.
 func (s *table) List(ctx context.Context, table, part string) (feed.Snapshot, error) {
 	snap, _, err := s.Range(ctx, table, part, "", "", len(s.rows[part]))
 	return snap, err
 }
 
-// Range returns rows of a part.
 func (s *table) Range(_ context.Context, _, part, from, _ string, limit int) (feed.Snapshot, bool, error) {
 	s.reads++
 	at, _ := slices.BinarySearchFunc(s.rows[part], from, func(r feed.Row, key string) int { return strings.Compare(r.Key, key) })
@@ -43,7 +41,6 @@
 	return snap, more, nil
 }
 
-// Commit writes one row.
 func (s *table) Commit(_ context.Context, tx feed.Tx) (int64, error) {
 	s.version++
 	for _, put := range tx.Put {
@@ -58,7 +55,7 @@
 	return s.version, nil
 }
 
-// start plays the start of nodes, spread over a time, and what follows, for some time.
+// start simulates nodes that start at random times within spread, for a duration d in all.
 func start(n gossip.Network, s *table, halls int, first bool, spread, d time.Duration) {
 	r := rand.New(rand.NewPCG(uint64(len(n.Names())), 1))
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
@@ -70,7 +67,7 @@
 	registers := map[string]*register.Register{}
 	for _, name := range n.Names() {
 		starts[name] = n.Now().Add(time.Duration(r.Int64N(int64(spread))))
-		registers[name] = register.New(n.Now(), s, n.Self(name), names, first, n.Node(name), log)
+		registers[name] = register.New(n.Now(), s, n.Info(name), names, first, n.Node(name), log)
 	}
 	order := slices.Clone(n.Names())
 	slices.SortFunc(order, func(a, b string) int { return starts[a].Compare(starts[b]) })
@@ -85,14 +82,15 @@
 				_ = registers[name].Poll(context.Background(), n.Now())
 			}
 		}
-		n.Run(gossip.Every)
+		n.Run(gossip.RoundInterval)
 	}
 }
 
-// TestStartOfManyNodesGrowsWithTheirNumber plays the first start of all nodes, of which each knows nobody but by the register,
-// and one after all were killed. All have to agree on the hubs; what the store gives grows as the nodes do, and what is written
-// in a hall stays below what the store takes there in the time over which nodes start.
-func TestStartOfManyNodesGrowsWithTheirNumber(t *testing.T) {
+// TestStartupCostGrowsLinearly simulates the first start of all nodes, which know each other only
+// through the register, and a restart after all were killed. All nodes have to agree on the hubs. What
+// the store reads grows linearly with the nodes, and the writes per hall stay below the store's limit
+// for the time over which nodes start.
+func TestStartupCostGrowsLinearly(t *testing.T) {
 	const (
 		halls     = 5
 		within    = 7 * time.Second
@@ -139,9 +137,9 @@
 	}
 }
 
-// TestHubsBeyondTheHeadKnowEachOther holds that all agree on the hubs where the load needs more of them than the head of a hall
-// has rows, so that most hubs learn of each other from messages alone.
-func TestHubsBeyondTheHeadKnowEachOther(t *testing.T) {
+// TestHubsBeyondRegisterHeadAgree checks that all nodes agree on the hubs if the load needs more hubs
+// than the register head of a hall has rows, so that most hubs learn of each other only from messages.
+func TestHubsBeyondRegisterHeadAgree(t *testing.T) {
 	const halls, each = 2, 22
 	n := gossip.NewNetwork(t, halls, each)
 	n.Load(30)
@@ -151,6 +149,6 @@
 		t.Error(err)
 	}
 	if hubs := len(n.Hubs("h0")); hubs <= 16 {
-		t.Errorf("%d hubs in a hall, want more than the head", hubs)
+		t.Errorf("%d hubs in a hall, want more than the register head holds", hubs)
 	}
 }
