--- a/internal/news/news.go
+++ b/internal/news/news.go
@@ -1,5 +1,5 @@
-// Package news bounds what nodes tell each other of things that there may be many of: what is new goes first, and the rest
-// by turns.
+// Package news bounds how many entries of a long list nodes send each other: recent entries first,
+// then the others in rotation.
 package news
 
 import (
@@ -7,68 +7,68 @@
 	"time"
 )
 
-// List holds the names of what peers are told of. Its zero value is empty.
+// List holds the names of entries that are sent to peers. Its zero value is empty.
 type List struct {
-	names  []string
-	has    map[string]bool // has holds the names.
-	recent []string        // recent are those that changed, the newest last.
-	next   int             // next is where the next turn goes on.
+	names     []string
+	known     map[string]bool // known is the set of names.
+	recent    []string        // recent are the names that changed, the newest last.
+	nextIndex int             // nextIndex is where the rotation continues in names.
 }
 
-// Add adds a name, unless it is there.
+// Add adds a name unless it is already in the list.
 func (l *List) Add(name string) {
-	if l.has[name] {
+	if l.known[name] {
 		return
 	}
-	if l.has == nil {
-		l.has = map[string]bool{}
+	if l.known == nil {
+		l.known = map[string]bool{}
 	}
-	l.has[name] = true
+	l.known[name] = true
 	l.names = append(l.names, name)
 }
 
-// MarkChanged says that there is something new of a name.
+// MarkChanged records that the entry of a name has changed.
 func (l *List) MarkChanged(name string) {
-	l.forget(name)
+	l.unmarkChanged(name)
 	l.recent = append(l.recent, name)
 }
 
 // Remove removes a name.
 func (l *List) Remove(name string) {
-	if !l.has[name] {
+	if !l.known[name] {
 		return
 	}
-	delete(l.has, name)
-	l.forget(name)
+	delete(l.known, name)
+	l.unmarkChanged(name)
 	at := slices.Index(l.names, name)
 	l.names = slices.Delete(l.names, at, at+1)
 }
 
-// forget takes a name out of those that changed.
-func (l *List) forget(name string) {
+// unmarkChanged removes a name from those that changed.
+func (l *List) unmarkChanged(name string) {
 	if at := slices.Index(l.recent, name); at >= 0 {
 		l.recent = slices.Delete(l.recent, at, at+1)
 	}
 }
 
-// Next returns the names that peers are told of now, the most at most: first those that changed and are still recent, the newest
-// first, then some of the others, other ones with each call.
-func (l *List) Next(recent func(name string) bool, most int) []string {
-	old := 0
-	for old < len(l.recent) && !recent(l.recent[old]) {
-		old++
+// Next returns up to limit names to send now: first those that changed and are still recent, the
+// newest first, then some of the others, continuing the rotation with each call.
+func (l *List) Next(recent func(name string) bool, limit int) []string {
+	expired := 0
+	for expired < len(l.recent) && !recent(l.recent[expired]) {
+		expired++
 	}
-	l.recent = slices.Delete(l.recent, 0, old)
+	l.recent = slices.Delete(l.recent, 0, expired)
 	var out []string
-	for i := len(l.recent) - 1; i >= 0 && len(out) < most; i-- {
+	for i := len(l.recent) - 1; i >= 0 && len(out) < limit; i-- {
 		out = append(out, l.recent[i])
 	}
-	for range min(most, len(l.names)) {
-		if len(out) >= most {
+	for range min(limit, len(l.names)) {
+		if len(out) >= limit {
 			break
 		}
-		name := l.names[l.next%len(l.names)]
-		l.next++
+		name := l.names[l.nextIndex%len(l.names)]
+		l.nextIndex++
 		if !slices.Contains(l.recent, name) {
 			out = append(out, name)
 		}
@@ -76,9 +76,10 @@
 	return out
 }
 
-// Recent returns the beginning of a list that is told, the newest first, up to the first entry that is older than a time.
-func Recent[T any](list []T, age func(T) time.Duration, span time.Duration) []T {
-	if at := slices.IndexFunc(list, func(each T) bool { return age(each) > span }); at >= 0 {
+// Recent returns the start of a list that is sorted newest first, up to the first entry older than
+// maxAge.
+func Recent[T any](list []T, age func(T) time.Duration, maxAge time.Duration) []T {
+	if at := slices.IndexFunc(list, func(entry T) bool { return age(entry) > maxAge }); at >= 0 {
 		return list[:at]
 	}
 	return list
--- a/internal/register/decode_test.go
+++ b/internal/register/decode_test.go
@@ -12,7 +12,7 @@
 // good is a row as a node writes it.
 var good = gossip.NodeInfo{Name: "n", Incarnation: 1, PeerAddress: "10.0.0.1:7780", CallerAddress: "10.0.0.1:8080", Hall: "h", Cores: 0.4}
 
-// FuzzDecode holds that whatever lies in the register is taken whole or not at all.
+// FuzzDecode checks that a row is either decoded completely or rejected.
 func FuzzDecode(f *testing.F) {
 	text, err := json.Marshal(good)
 	if err != nil {
@@ -24,12 +24,12 @@
 		f.Add("1-n", []byte(bad))
 	}
 	f.Fuzz(func(t *testing.T, key string, value []byte) {
-		s, err := decode(feed.Row{Key: key, Value: value})
+		s, err := decodeNode(feed.Row{Key: key, Value: value})
 		if err != nil && s != (gossip.NodeInfo{}) {
-			t.Errorf("half taken: %+v with %v", s, err)
+			t.Errorf("partly decoded: %+v with %v", s, err)
 		}
 		if err == nil && (!strings.HasSuffix(key, "-"+s.Name) || s.PeerAddress == "" || s.Hall == "") {
-			t.Errorf("taken: %+v", s)
+			t.Errorf("decoded an invalid row: %+v", s)
 		}
 	})
 }
--- a/internal/register/register_test.go
+++ b/internal/register/register_test.go
@@ -18,7 +18,7 @@
 	"github.com/croftturn/croftturn/internal/register"
 )
 
-// store is a table in memory; it fails as often as it is told to.
+// store is an in-memory table that can fail a given number of writes.
 type store struct {
 	mu      sync.Mutex
 	rows    map[string]feed.Row
@@ -28,13 +28,12 @@
 	fail    int
 }
 
-// List returns all rows of a part.
 func (s *store) List(ctx context.Context, table, part string) (feed.Snapshot, error) {
 	snap, _, err := s.Range(ctx, table, part, "", "", len(s.rows))
 	return snap, err
 }
 
-// Range returns rows in the order of their keys.
+// Range returns rows of a part sorted by key.
 func (s *store) Range(_ context.Context, _, part, from, _ string, limit int) (snap feed.Snapshot, more bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,7 +52,7 @@
 	return snap, false, nil
 }
 
-// Commit does a transaction.
+// Commit applies a transaction.
 func (s *store) Commit(_ context.Context, tx feed.Tx) (int64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -78,24 +77,24 @@
 	return s.version, nil
 }
 
-// peers keeps whom a node met.
+// peers records the nodes that it is given.
 type peers struct {
-	met         map[string]gossip.NodeInfo
-	hub, lonely bool
+	met           map[string]gossip.NodeInfo
+	hub, isolated bool
 }
 
 func (p *peers) AddPeer(_ time.Time, s gossip.NodeInfo) { p.met[s.Name] = s }
 func (p *peers) UpdateHubs(time.Time)                   {}
 func (p *peers) IsHub() bool                            { return p.hub }
-func (p *peers) Isolated(time.Time) bool                { return p.lonely }
+func (p *peers) Isolated(time.Time) bool                { return p.isolated }
 
-// newRegister returns a node's register and its peers; there are two halls.
+// newRegister returns a node's register and its peers, in a system of two halls.
 func newRegister(s *store, self gossip.NodeInfo) (*register.Register, *peers) {
 	p := &peers{met: map[string]gossip.NodeInfo{}}
 	return register.New(time.Unix(1000, 0), s, self, []string{"h", "i"}, false, p, slog.New(slog.NewTextHandler(io.Discard, nil))), p
 }
 
-// meet runs a node's register until it was read, and returns whom it met.
+// meet runs a node's register until it has joined, and returns the nodes that it found.
 func meet(t *testing.T, s *store, self gossip.NodeInfo) (*register.Register, map[string]gossip.NodeInfo) {
 	t.Helper()
 	r, p := newRegister(s, self)
@@ -109,14 +108,14 @@
 	cancel()
 	<-done
 	if !r.Joined() {
-		t.Fatal("the register was not read")
+		t.Fatal("the node has not joined")
 	}
 	return r, p.met
 }
 
-// TestOfTwoNodesOneSeesTheOther holds that a later node meets an earlier one, that
-// an uncertain write is tried again, and that a row which serves is not rewritten.
-func TestOfTwoNodesOneSeesTheOther(t *testing.T) {
+// TestLaterNodeMeetsEarlierOne checks that a later node finds an earlier one, that an uncertain write
+// is retried, and that a row that is still valid is not rewritten.
+func TestLaterNodeMeetsEarlierOne(t *testing.T) {
 	s := &store{rows: map[string]feed.Row{}, fail: 2}
 	a := gossip.NodeInfo{Name: "a", Incarnation: 1, PeerAddress: "p-a", CallerAddress: "c-a", Hall: "h"}
 	b := gossip.NodeInfo{Name: "b", Incarnation: 2, PeerAddress: "p-b", CallerAddress: "c-b", Hall: "h"}
@@ -129,7 +128,7 @@
 	again.Incarnation = 9
 	meet(t, s, again)
 	if s.writes != 2 {
-		t.Errorf("%d writes, want 2: the row of a serves as it is", s.writes)
+		t.Errorf("%d writes, want 2: the row of a is still valid", s.writes)
 	}
 	again.PeerAddress = "p-a2"
 	meet(t, s, again)
@@ -140,35 +139,35 @@
 		t.Fatal(err)
 	}
 	if left := len(s.rows); left != 1 || errors.Is(rb.Leave(context.Background()), feed.ErrConflict) {
-		t.Error("b still stands in the register")
+		t.Error("b still has a row in the register")
 	}
 }
 
-// node returns what a node of a hall says of itself.
+// node returns the NodeInfo of a node.
 func node(hall, name string, cores float64) gossip.NodeInfo {
 	return gossip.NodeInfo{Name: name, Incarnation: 1, PeerAddress: "p-" + name, CallerAddress: "c-" + name, Hall: hall, Cores: cores}
 }
 
-// TestSmallNodesReadTheHeadAndLeaveItToLargerOnes holds that a node which does not belong to the head of its hall makes one call,
-// meets the nodes of the head alone, and writes no row; and that it writes one, and reads all rows of its hall, where it goes on
-// hearing nobody.
-func TestSmallNodesReadTheHeadAndLeaveItToLargerOnes(t *testing.T) {
+// TestSmallNodeReadsOnlyTheHead checks that a node that does not belong to the head of its hall makes
+// one call, finds only the nodes of the head and writes no row. If it then hears no peer, it writes
+// its row and reads all rows of its hall.
+func TestSmallNodeReadsOnlyTheHead(t *testing.T) {
 	ctx, now := context.Background(), time.Unix(1000, 0)
 	s := &store{rows: map[string]feed.Row{}}
 	for i := range 60 {
 		r, p := newRegister(s, node("h", fmt.Sprint("n", i), 1))
-		p.lonely = true
+		p.isolated = true
 		if err := errors.Join(r.Join(ctx), r.Poll(ctx, now), r.Poll(ctx, now.Add(3*time.Second))); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if len(s.rows) != 60 {
-		t.Fatalf("%d rows of 60 nodes that heard nobody", len(s.rows))
+		t.Fatalf("%d rows of 60 isolated nodes", len(s.rows))
 	}
 	s.reads, s.writes = 0, 0
 	r, p := newRegister(s, node("h", "small", 0.2))
 	if err := r.Join(ctx); err != nil || !r.Joined() || s.reads != 1 || s.writes != 0 {
-		t.Errorf("%v: read %v, %d reads, %d writes; want one read", err, r.Joined(), s.reads, s.writes)
+		t.Errorf("%v: joined %v, %d reads, %d writes; want one read", err, r.Joined(), s.reads, s.writes)
 	}
 	head := len(p.met)
 	if head == 0 || head >= 60 {
@@ -183,32 +182,32 @@
 		}
 	}
 	if watch(0); s.reads != 1 || s.writes != 0 {
-		t.Errorf("a node that hears its peers makes %d more reads", s.reads-1)
+		t.Errorf("a node that hears peers makes %d more reads", s.reads-1)
 	}
-	p.lonely = true
+	p.isolated = true
 	watch(0)
 	watch(1900 * time.Millisecond)
 	if s.reads != 1 {
-		t.Error("it reads on before it was lonely for long")
+		t.Error("it searches before the search delay is over")
 	}
 	if watch(200 * time.Millisecond); s.writes != 1 || len(p.met) != head {
-		t.Errorf("lonely for 2 s: %d writes, %d met; want its row, and the head again", s.writes, len(p.met))
+		t.Errorf("isolated for 2 s: %d writes, %d met; want its row, and the head again", s.writes, len(p.met))
 	}
 	if watch(4 * time.Second); len(p.met) != 60 {
-		t.Errorf("lonely for longer it has met %d of 60", len(p.met))
+		t.Errorf("isolated for longer it has met %d of 60", len(p.met))
 	}
 	reads := s.reads
 	if watch(4 * time.Second); s.reads != reads {
-		t.Error("it does not wait longer each time")
+		t.Error("the search delay does not grow")
 	}
 	if err := r.Leave(ctx); err != nil || len(s.rows) != 60 {
 		t.Errorf("%v: %d rows after it left, want 60", err, len(s.rows))
 	}
 }
 
-// TestAHubStandsInTheRegisterAndKnowsOtherHalls holds that a node which becomes a hub writes its row and reads the heads of the
-// other halls once, and later one head at a time.
-func TestAHubStandsInTheRegisterAndKnowsOtherHalls(t *testing.T) {
+// TestHubWritesItsRowAndReadsOtherHalls checks that a node that becomes a hub writes its row and reads
+// the heads of the other halls once, and afterwards one head at a time.
+func TestHubWritesItsRowAndReadsOtherHalls(t *testing.T) {
 	ctx, now := context.Background(), time.Unix(1000, 0)
 	s := &store{rows: map[string]feed.Row{}}
 	for i := range 40 {
@@ -220,7 +219,7 @@
 		t.Fatal(err)
 	}
 	if _, ok := p.met["far"]; ok || s.rows[smallKey(s)].Version != 0 {
-		t.Error("a node that is no hub meets those of other halls, or stands in the register")
+		t.Error("a node that is no hub meets nodes of other halls, or has a row in the register")
 	}
 	p.hub = true
 	reads := s.reads
@@ -243,7 +242,7 @@
 	}
 }
 
-// smallKey returns the key of the row of the node "small", if there is one.
+// smallKey returns the key of the row of the node "small", or "" if there is none.
 func smallKey(s *store) string {
 	for key := range s.rows {
 		if strings.HasSuffix(key, "-small") {
