--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,6 +1,7 @@
-// Package clock tells the present time by a clock that counts the time in which the machine was suspended, and
-// that a step of the time of day does not move. Go's own differences and timers go by the steady clock, which
-// does not count it: after a suspension a proof, a deadline or a peer's word would look younger than it is.
+// Package clock tells the current time with a clock that includes the time in which the machine was
+// suspended and that is not moved when the wall clock is set. Go's time differences and timers use the
+// monotonic clock, which stops during a suspension: afterwards a proof, a deadline or the state of a
+// peer would look younger than it is.
 package clock
 
 import (
@@ -12,52 +13,54 @@
 )
 
 const (
-	// drift is by how much the time of day may move against the steady clock before the clock that counts
-	// suspension is read: it costs a system call, the other two none. A clock that is disciplined moves by 0.5 ms a second
-	// at most, a suspension moves it by its length.
-	drift = 5 * time.Millisecond
-
-	// leastAway is the shortest absence that counts as one: what lies below is the time between two readings.
-	leastAway = 50 * time.Millisecond
+	// maxDrift is how far the wall clock may move against the monotonic clock before the boot-time
+	// clock is read. Reading that one costs a system call, reading the other two does not. A
+	// disciplined wall clock drifts by at most 0.5 ms per second; a suspension moves it by its length.
+	maxDrift = 5 * time.Millisecond
+
+	// minSuspension is the shortest suspension that counts; a shorter difference is the time between
+	// two readings.
+	minSuspension = 50 * time.Millisecond
 )
 
 type (
 	// Source reads the clocks of the machine.
 	Source struct {
-		Monotonic func() time.Time            // Steady returns a time whose differences are of the steady clock.
-		Wall      func(t time.Time) time.Time // Day returns the time of day at such a time.
-		Boot      func() time.Duration        // Boot returns the time since the machine's start, suspension included.
+		Monotonic func() time.Time            // Monotonic returns a time with a monotonic clock reading.
+		Wall      func(t time.Time) time.Time // Wall returns the wall clock time for a time returned by Monotonic.
+		Boot      func() time.Duration        // Boot returns the time since the machine booted, including suspensions.
 	}
 
-	// Clock tells the present time. Its methods may be called from many goroutines.
+	// Clock tells the current time. It is safe for concurrent use.
 	Clock struct {
-		source Source
-		start  time.Time
-		apart  atomic.Int64 // apart is how far the time of day was ahead of the steady clock when the clocks were last compared, in ns.
-		away   atomic.Int64 // away is how long the machine was suspended since the start, in ns.
-
-		mu    sync.Mutex
-		ahead time.Duration // ahead is how far the clock that counts suspension was ahead of the steady one at the start.
-		hooks map[int]Hook
-		next  int
+		source     Source
+		start      time.Time
+		wallOffset atomic.Int64 // wallOffset is how far the wall clock was ahead of the monotonic one at the last comparison, in ns.
+		suspended  atomic.Int64 // suspended is how long the machine was suspended since the start, in ns.
+
+		mu         sync.Mutex
+		bootOffset time.Duration // bootOffset is the boot-time clock's reading at the start.
+		hooks      map[int]Hook
+		nextID     int
 	}
 
-	// Hook is called once after each absence, before anybody is told the time. It must not ask for it.
-	Hook func(now time.Time, away time.Duration)
+	// Hook is called once after each suspension, before any caller gets a time after it. It must not
+	// ask the clock for the time.
+	Hook func(now time.Time, suspended time.Duration)
 )
 
-// machine is the clock of this process.
-var machine = New(Source{Monotonic: time.Now, Wall: func(t time.Time) time.Time { return t.Round(0) }, Boot: bootTime})
+// process is the clock of this process.
+var process = New(Source{Monotonic: time.Now, Wall: func(t time.Time) time.Time { return t.Round(0) }, Boot: bootTime})
 
-// New returns a clock.
+// New returns a Clock that reads the given source.
 func New(s Source) *Clock {
 	c := &Clock{source: s, start: s.Monotonic(), hooks: map[int]Hook{}}
-	c.ahead = s.Boot()
-	c.apart.Store(c.apartAt(c.start))
+	c.bootOffset = s.Boot()
+	c.wallOffset.Store(c.wallOffsetAt(c.start))
 	return c
 }
 
-// bootTime reads the machine's clock that counts suspension. It is there on every system that the product runs on.
+// bootTime reads CLOCK_BOOTTIME, which exists on every supported system.
 func bootTime() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
@@ -66,37 +69,37 @@
 	return time.Duration(t.Nano())
 }
 
-// Now returns the present time of this process's clock.
-func Now() time.Time { return machine.Now() }
+// Now returns the current time of this process's clock.
+func Now() time.Time { return process.Now() }
 
-// Since returns how long ago a moment of this process's clock was.
+// Since returns the time elapsed since t, a time of this process's clock.
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
 
-// Until returns how long it is to a moment of this process's clock.
+// Until returns the time until t, a time of this process's clock.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
-// Wall returns the time of day of a moment of this process's clock.
-func Wall(t time.Time) time.Time { return t.Add(-time.Duration(machine.away.Load())) }
+// Wall returns the wall clock time for t, a time of this process's clock.
+func Wall(t time.Time) time.Time { return t.Add(-time.Duration(process.suspended.Load())) }
 
-// OnResume has a hook called after each absence of this process; it returns what ends that.
-func OnResume(h Hook) (remove func()) { return machine.OnResume(h) }
+// OnResume registers a hook that is called after each suspension; remove unregisters it.
+func OnResume(h Hook) (remove func()) { return process.OnResume(h) }
 
-// Now returns the present time. Differences between two such times count suspension.
+// Now returns the current time. Differences between two such times include suspensions.
 func (c *Clock) Now() time.Time {
 	t := c.source.Monotonic()
-	if moved := time.Duration(c.apartAt(t) - c.apart.Load()); moved.Abs() > drift {
-		c.compare()
+	if moved := time.Duration(c.wallOffsetAt(t) - c.wallOffset.Load()); moved.Abs() > maxDrift {
+		c.checkSuspension()
 		t = c.source.Monotonic()
 	}
-	return t.Add(time.Duration(c.away.Load()))
+	return t.Add(time.Duration(c.suspended.Load()))
 }
 
-// OnResume has a hook called after each absence; it returns what ends that.
+// OnResume registers a hook that is called after each suspension; remove unregisters it.
 func (c *Clock) OnResume(h Hook) (remove func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	id := c.next
-	c.next++
+	id := c.nextID
+	c.nextID++
 	c.hooks[id] = h
 	return func() {
 		c.mu.Lock()
@@ -105,25 +108,25 @@
 	}
 }
 
-// compare finds out whether the machine was suspended, and calls the hooks if so. Whoever asks for the time
-// meanwhile waits for them.
-func (c *Clock) compare() {
+// checkSuspension checks whether the machine was suspended and calls the hooks if so. Callers that ask
+// for the time meanwhile wait for the hooks.
+func (c *Clock) checkSuspension() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	t := c.source.Monotonic()
-	ahead := c.source.Boot() - c.ahead - t.Sub(c.start)
-	before := time.Duration(c.away.Load())
-	if away := ahead - before; away >= leastAway {
-		c.away.Store(int64(ahead))
-		now := t.Add(ahead)
+	total := c.source.Boot() - c.bootOffset - t.Sub(c.start)
+	before := time.Duration(c.suspended.Load())
+	if suspended := total - before; suspended >= minSuspension {
+		c.suspended.Store(int64(total))
+		now := t.Add(total)
 		for _, h := range c.hooks {
-			h(now, away)
+			h(now, suspended)
 		}
 	}
-	c.apart.Store(c.apartAt(t))
+	c.wallOffset.Store(c.wallOffsetAt(t))
 }
 
-// apartAt returns how far the time of day is ahead of the steady clock since the start, in ns.
-func (c *Clock) apartAt(t time.Time) int64 {
+// wallOffsetAt returns how far the wall clock is ahead of the monotonic clock since the start, in ns.
+func (c *Clock) wallOffsetAt(t time.Time) int64 {
 	return c.source.Wall(t).UnixNano() - int64(t.Sub(c.start))
 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -14,62 +14,64 @@
 	"github.com/croftturn/croftturn/internal/clock"
 )
 
-// hand is a machine's clocks under the test's hand.
-type hand struct {
-	mu     sync.Mutex
-	steady time.Duration
-	boot   time.Duration
-	wall   time.Duration // wall is by how much the time of day was stepped.
-	reads  int           // reads counts readings of the clock that counts suspension.
-	start  time.Time
+// fakeClocks are the clocks of a machine, set by the test.
+type fakeClocks struct {
+	mu        sync.Mutex
+	monotonic time.Duration
+	boot      time.Duration
+	wallStep  time.Duration // wallStep is how far the wall clock was set.
+	bootReads int           // bootReads counts readings of the boot-time clock.
+	start     time.Time
 }
 
-func (h *hand) source() clock.Source {
-	return clock.Source{Monotonic: h.steadyTime, Wall: h.day, Boot: h.bootTime}
+func (h *fakeClocks) source() clock.Source {
+	return clock.Source{Monotonic: h.monotonicTime, Wall: h.wallTime, Boot: h.bootTime}
 }
 
-func (h *hand) steadyTime() time.Time {
+func (h *fakeClocks) monotonicTime() time.Time {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.start.Add(h.steady)
+	return h.start.Add(h.monotonic)
 }
 
-func (h *hand) day(time.Time) time.Time {
+func (h *fakeClocks) wallTime(time.Time) time.Time {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.start.Add(h.boot + h.wall)
+	return h.start.Add(h.boot + h.wallStep)
 }
 
-func (h *hand) bootTime() time.Duration {
+func (h *fakeClocks) bootTime() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.reads++
+	h.bootReads++
 	return h.boot
 }
 
-// pass lets time pass, of which the machine is suspended for a part.
-func (h *hand) pass(d, suspended time.Duration) {
+// pass advances the clocks; the machine is suspended for a part of the time.
+func (h *fakeClocks) pass(d, suspended time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.steady += d - suspended
+	h.monotonic += d - suspended
 	h.boot += d
 }
 
-// step moves the time of day.
-func (h *hand) step(d time.Duration) {
+// step sets the wall clock.
+func (h *fakeClocks) step(d time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.wall += d
+	h.wallStep += d
 }
 
-// TestSuspensionCounts holds that differences count suspension and no step of the time of day, and that
-// hooks are called once an absence, before anybody is told the time after it.
+// TestSuspensionCounts checks that time differences include suspensions but no steps of the wall
+// clock, and that hooks are called once per suspension, before any caller gets a time after it.
 func TestSuspensionCounts(t *testing.T) {
-	h := &hand{start: time.Now()}
+	h := &fakeClocks{start: time.Now()}
 	c := clock.New(h.source())
 	var called []time.Duration
-	var told []time.Time
-	remove := c.OnResume(func(now time.Time, away time.Duration) { called, told = append(called, away), append(told, now) })
+	var calledAt []time.Time
+	remove := c.OnResume(func(now time.Time, suspended time.Duration) {
+		called, calledAt = append(called, suspended), append(calledAt, now)
+	})
 	begin := c.Now()
 	for _, s := range []struct {
 		d, suspended, step time.Duration
@@ -88,8 +90,8 @@
 		if got := now.Sub(before); got != s.d {
 			t.Errorf("%+v: %v passed", s, got)
 		}
-		if len(called) != s.calls || s.suspended > 0 && (called[len(called)-1] != s.suspended || !told[len(told)-1].Equal(now)) {
-			t.Errorf("%+v: hooks called with %v at %v", s, called, told)
+		if len(called) != s.calls || s.suspended > 0 && (called[len(called)-1] != s.suspended || !calledAt[len(calledAt)-1].Equal(now)) {
+			t.Errorf("%+v: hooks called with %v at %v", s, called, calledAt)
 		}
 	}
 	if got := c.Now().Sub(begin); got != 14*time.Second {
@@ -102,29 +104,29 @@
 	}
 }
 
-// TestTheClockIsReadWithoutSystemCalls holds that the clock that counts suspension is read only where the others have moved
-// against each other.
-func TestTheClockIsReadWithoutSystemCalls(t *testing.T) {
-	h := &hand{start: time.Now()}
+// TestBootClockIsReadOnlyAfterDrift checks that the boot-time clock, which costs a system call, is
+// read only if the other two have moved against each other.
+func TestBootClockIsReadOnlyAfterDrift(t *testing.T) {
+	h := &fakeClocks{start: time.Now()}
 	c := clock.New(h.source())
 	for range 1000 {
 		h.pass(time.Second, 0)
 		c.Now()
 	}
-	if h.reads != 1 {
-		t.Errorf("read %d times, want once at the start", h.reads)
+	if h.bootReads != 1 {
+		t.Errorf("read %d times, want once at the start", h.bootReads)
 	}
 }
 
-// ownClock matches what asks Go for the time; ioDeadline what hands it to Go's own timers.
+// goClock matches code that reads Go's clock; ioDeadline matches deadlines for Go's own timers.
 var (
-	ownClock   = regexp.MustCompile(`time\.(Now|Since|Until)\b|context\.WithDeadline\(`)
+	goClock    = regexp.MustCompile(`time\.(Now|Since|Until)\b|context\.WithDeadline\(`)
 	ioDeadline = regexp.MustCompile(`Set(Read|Write)Deadline\(time\.Now\(\)`)
 )
 
-// TestAllGoByThisClock holds that nothing in the product asks Go for the time but this package, but for deadlines of
-// connections, which go by Go's timers.
-func TestAllGoByThisClock(t *testing.T) {
+// TestOnlyThisPackageReadsGoClock checks that no other production code reads Go's clock, except for
+// deadlines of connections, which use Go's timers.
+func TestOnlyThisPackageReadsGoClock(t *testing.T) {
 	for _, dir := range []string{"../../internal", "../../platform", "../../cmd"} {
 		err := filepath.WalkDir(dir, func(path string, _ fs.DirEntry, err error) error {
 			if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") || strings.Contains(path, "internal/clock/") {
@@ -137,7 +139,7 @@
 			defer f.Close()
 			lines := bufio.NewScanner(f)
 			for n := 1; lines.Scan(); n++ {
-				if line := lines.Text(); ownClock.MatchString(line) && !ioDeadline.MatchString(line) {
+				if line := lines.Text(); goClock.MatchString(line) && !ioDeadline.MatchString(line) {
 					t.Errorf("%s:%d asks Go for the time: %s", path, n, strings.TrimSpace(line))
 				}
 			}
@@ -149,7 +151,7 @@
 	}
 }
 
-// BenchmarkNow measures what asking for the time costs, beside Go's own.
+// BenchmarkNow measures the cost of reading the time, compared with Go's own clock.
 func BenchmarkNow(b *testing.B) {
 	b.Run("clock", func(b *testing.B) {
 		for b.Loop() {
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -14,71 +14,73 @@
 )
 
 var (
-	// ErrUnreachable says that a peer could not be connected to; nothing was sent.
+	// ErrUnreachable says that no connection to a peer could be opened; nothing was sent.
 	ErrUnreachable = errors.New("peer: not reachable")
 
-	// ErrIdleTimeout says that nothing came from a peer for longer than the client bears.
-	ErrIdleTimeout = errors.New("peer: silent")
+	// ErrIdleTimeout says that nothing came from a peer within the client's idle timeout.
+	ErrIdleTimeout = errors.New("peer: no data received within the idle timeout")
 )
 
 type (
-	// Client keeps one connection to each peer that is called.
+	// Client keeps one connection to each peer that it calls.
 	Client struct {
-		traffic *Traffic
-		silence time.Duration // silence is how long a peer may say nothing in a call; 0 for as long as the call has.
-		ctx     context.Context
-		cancel  context.CancelFunc
+		traffic     *Traffic
+		idleTimeout time.Duration // idleTimeout bounds the time without data from the peer during a call; 0 for no bound.
+		ctx         context.Context
+		cancel      context.CancelFunc
 
-		mu    sync.Mutex
-		links map[string]*link
+		mu          sync.Mutex
+		connections map[string]*connection
 	}
 
-	// link is the connection to one address; its lock makes callers share a dial.
-	link struct {
+	// connection is the connection to one address; concurrent callers share a dial through its lock.
+	connection struct {
 		mu   sync.Mutex
 		rpc  *jsonrpc2.Conn
 		conn *countingConn
 	}
 )
 
-// silentError says that a peer was silent in a call.
-type silentError struct {
-	kept bool // kept says that the peer had said something on the connection before the call.
+// idleTimeoutError says that a peer sent nothing for the idle timeout during a call.
+type idleTimeoutError struct {
+	reused bool // reused says that data had come on the connection before the call.
 }
 
-// Error describes it.
-func (e *silentError) Error() string { return ErrIdleTimeout.Error() }
+// Error implements error.
+func (e *idleTimeoutError) Error() string { return ErrIdleTimeout.Error() }
 
-// Is makes errors.Is(err, ErrSilent) true.
-func (e *silentError) Is(target error) bool { return target == ErrIdleTimeout }
+// Is makes errors.Is(err, ErrIdleTimeout) true.
+func (e *idleTimeoutError) Is(target error) bool { return target == ErrIdleTimeout }
 
-// Option changes a client.
+// Option configures a Client.
 type Option func(*Client)
 
-// WithIdleTimeout makes calls end, with ErrSilent, when nothing comes from the peer for so long.
-// A call then needs no bound that grows with its answer. One that met silence on a connection
-// that was kept is made once more over a new one, so that it should be one that may be repeated:
-// where the connections of all nodes fall silent at once, to ask another peer meets the same.
-func WithIdleTimeout(most time.Duration) Option { return func(c *Client) { c.silence = most } }
+// WithIdleTimeout ends calls with ErrIdleTimeout if nothing comes from the peer for that long, so a
+// call needs no timeout that grows with the size of its answer. A call that hits the idle timeout on a
+// reused connection is repeated once over a new one, so only idempotent methods should be called.
+// Calling another peer instead would not help if the connections of all nodes fall silent at once.
+func WithIdleTimeout(timeout time.Duration) Option {
+	return func(c *Client) { c.idleTimeout = timeout }
+}
 
-// NewClient returns a client without connections.
+// NewClient returns a client without open connections.
 func NewClient(traffic *Traffic, options ...Option) *Client {
 	ctx, cancel := context.WithCancel(context.Background())
-	c := &Client{traffic: traffic, ctx: ctx, cancel: cancel, links: map[string]*link{}}
+	c := &Client{traffic: traffic, ctx: ctx, cancel: cancel, connections: map[string]*connection{}}
 	for _, o := range options {
 		o(c)
 	}
 	return c
 }
 
-// Call calls a method of the peer at an address and decodes its result. The
-// error is ErrUnreachable where nothing was sent. A connection on which nothing came
-// while a call ran into its deadline is closed: connections may fall silent for good without
-// a reset, and the next call then goes over a new one.
+// Call calls a method of the peer at an address and decodes the result. The error is ErrUnreachable if
+// nothing was sent. If a call exceeds its deadline and nothing came on the connection meanwhile, the
+// connection is closed: connections may fall silent for good without a reset, and the next call then
+// opens a new one.
 func (c *Client) Call(ctx context.Context, address, method string, params, result any) error {
 	err := c.callOnce(ctx, address, method, params, result)
-	var silent *silentError
-	if errors.As(err, &silent) && silent.kept && ctx.Err() == nil {
+	var idle *idleTimeoutError
+	if errors.As(err, &idle) && idle.reused && ctx.Err() == nil {
 		err = c.callOnce(ctx, address, method, params, result)
 	}
 	if err != nil {
@@ -87,41 +89,41 @@
 	return nil
 }
 
-// callOnce calls over the connection that there is, or a new one.
+// callOnce calls the method over the open connection or a new one.
 func (c *Client) callOnce(ctx context.Context, address, method string, params, result any) error {
-	rpc, conn, err := c.conn(ctx, address)
+	rpc, conn, err := c.connect(ctx, address)
 	if err != nil {
 		return err
 	}
 	c.traffic.Calls.Add(1)
 	before := conn.reads.Load()
-	ctx, stop := c.watch(ctx, conn)
+	ctx, stop := c.watchIdle(ctx, conn)
 	defer stop()
 	err = rpc.Call(ctx, method, params, result)
-	silent := err != nil && errors.Is(context.Cause(ctx), ErrIdleTimeout)
-	if silent || errors.Is(err, context.DeadlineExceeded) && conn.reads.Load() == before {
-		rpc.Close() // The next call finds it closed; its own error tells no more.
+	idle := err != nil && errors.Is(context.Cause(ctx), ErrIdleTimeout)
+	if idle || errors.Is(err, context.DeadlineExceeded) && conn.reads.Load() == before {
+		rpc.Close() // The next call finds it closed. The error of Close adds no information.
 	}
-	if silent {
-		return &silentError{kept: before > 0}
+	if idle {
+		return &idleTimeoutError{reused: before > 0}
 	}
 	return err
 }
 
-// watch returns a context for a call on a connection that ends when nothing comes on it for
-// longer than the client bears. The caller calls stop after the call.
-func (c *Client) watch(ctx context.Context, conn *countingConn) (watched context.Context, stop func()) {
-	if c.silence <= 0 {
+// watchIdle returns a context for a call that ends if nothing comes on the connection within the idle
+// timeout. The caller calls stop after the call.
+func (c *Client) watchIdle(ctx context.Context, conn *countingConn) (watched context.Context, stop func()) {
+	if c.idleTimeout <= 0 {
 		return ctx, func() {}
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	since := clock.Now()
 	var timer *time.Timer
-	ready := make(chan struct{}) // It is closed once timer is set.
-	timer = time.AfterFunc(c.silence, func() {
+	ready := make(chan struct{}) // ready is closed once timer is set.
+	timer = time.AfterFunc(c.idleTimeout, func() {
 		<-ready
-		if quiet := conn.quietFor(clock.Now(), since); quiet < c.silence {
-			timer.Reset(c.silence - quiet)
+		if idle := conn.idleTime(clock.Now(), since); idle < c.idleTimeout {
+			timer.Reset(c.idleTimeout - idle)
 			return
 		}
 		cancel(ErrIdleTimeout)
@@ -133,9 +135,9 @@
 	}
 }
 
-// Notify sends a method without waiting for an answer.
+// Notify sends a notification, which has no answer.
 func (c *Client) Notify(ctx context.Context, address, method string, params any) error {
-	rpc, _, err := c.conn(ctx, address)
+	rpc, _, err := c.connect(ctx, address)
 	if err != nil {
 		return fmt.Errorf("notify %s at %s: %w", method, address, err)
 	}
@@ -146,13 +148,13 @@
 	return nil
 }
 
-// conn returns the open connection to an address, or opens one.
-func (c *Client) conn(ctx context.Context, address string) (*jsonrpc2.Conn, *countingConn, error) {
+// connect returns the open connection to an address or opens one.
+func (c *Client) connect(ctx context.Context, address string) (*jsonrpc2.Conn, *countingConn, error) {
 	c.mu.Lock()
-	l := c.links[address]
+	l := c.connections[address]
 	if l == nil {
-		l = &link{}
-		c.links[address] = l
+		l = &connection{}
+		c.connections[address] = l
 	}
 	c.mu.Unlock()
 
@@ -178,15 +180,15 @@
 		return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: "calls go the other way"}
 	})
 	l.conn = &countingConn{Conn: conn, traffic: c.traffic, opened: clock.Now()}
-	l.rpc = jsonrpc2.NewConn(c.ctx, stream(l.conn), refuse, jsonrpc2.SetLogger(discard{}))
+	l.rpc = jsonrpc2.NewConn(c.ctx, stream(l.conn), refuse, jsonrpc2.SetLogger(noLogger{}))
 	return l.rpc, l.conn, nil
 }
 
 // Drop closes the connection to an address, such as that of a dead member.
 func (c *Client) Drop(address string) {
 	c.mu.Lock()
-	l := c.links[address]
-	delete(c.links, address)
+	l := c.connections[address]
+	delete(c.connections, address)
 	c.mu.Unlock()
 	if l == nil {
 		return
@@ -198,12 +200,12 @@
 	}
 }
 
-// Close drops all connections and waits until they are gone.
+// Close closes all connections. No new ones can be opened afterwards.
 func (c *Client) Close() {
 	c.cancel()
 	c.mu.Lock()
-	addresses := make([]string, 0, len(c.links))
-	for a := range c.links {
+	addresses := make([]string, 0, len(c.connections))
+	for a := range c.connections {
 		addresses = append(addresses, a)
 	}
 	c.mu.Unlock()
--- a/internal/peer/client_test.go
+++ b/internal/peer/client_test.go
@@ -14,35 +14,35 @@
 	"github.com/croftturn/croftturn/internal/peer"
 )
 
-// muted is a listener whose connections can fall silent for good: what comes on those
-// that were accepted is taken and not handed on, without a reset.
-type muted struct {
+// mutableListener is a listener whose accepted connections can be muted: what comes on them afterwards
+// is read and dropped, without a reset.
+type mutableListener struct {
 	net.Listener
-	silent   atomic.Pointer[atomic.Bool] // silent is set for the connections accepted until then.
+	silent   atomic.Pointer[atomic.Bool] // silent is the flag of the connections accepted since the last mute.
 	accepted atomic.Int32
 }
 
-// Accept returns a connection that falls silent with those before it.
-func (m *muted) Accept() (net.Conn, error) {
+// Accept returns a connection that is muted together with the others accepted since the last mute.
+func (m *mutableListener) Accept() (net.Conn, error) {
 	conn, err := m.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
 	m.accepted.Add(1)
-	return &mutedConn{conn, m.silent.Load()}, nil
+	return &mutableConn{conn, m.silent.Load()}, nil
 }
 
-// mute makes all present connections fall silent; new ones work.
-func (m *muted) mute() { m.silent.Swap(&atomic.Bool{}).Store(true) }
+// mute mutes all present connections; new ones work.
+func (m *mutableListener) mute() { m.silent.Swap(&atomic.Bool{}).Store(true) }
 
-// mutedConn is one such connection.
-type mutedConn struct {
+// mutableConn is a connection of a mutableListener.
+type mutableConn struct {
 	net.Conn
 	silent *atomic.Bool
 }
 
-// Read reads, and drops what it read where the connection is silent.
-func (c *mutedConn) Read(p []byte) (int, error) {
+// Read reads data, and drops it if the connection is muted.
+func (c *mutableConn) Read(p []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(p)
 		if err != nil || !c.silent.Load() {
@@ -51,12 +51,12 @@
 	}
 }
 
-// longAnswer is what the method long answers: seven pieces, with what frames them.
+// longAnswer is the answer of the method long; it fills seven writes without its framing.
 var longAnswer = strings.Repeat("x", 112<<10)
 
-// echo starts a server on a listener, with a method that answers, one with a long answer and one that never does, and
-// returns a client of it that bears some silence, or all where that is 0.
-func echo(t *testing.T, l net.Listener, silence time.Duration) *peer.Client {
+// startEcho starts a server with a method that answers, one with a long answer and one that never
+// answers. It returns a client with an idle timeout; 0 for none.
+func startEcho(t *testing.T, l net.Listener, idleTimeout time.Duration) *peer.Client {
 	t.Helper()
 	s := peer.NewServer(l, &peer.Traffic{}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	s.Handle("echo", peer.Typed(func(_ context.Context, p *string) (any, error) { return *p, nil }))
@@ -66,7 +66,7 @@
 		return nil, ctx.Err()
 	}))
 	go s.Serve()
-	c := peer.NewClient(&peer.Traffic{}, peer.WithIdleTimeout(silence))
+	c := peer.NewClient(&peer.Traffic{}, peer.WithIdleTimeout(idleTimeout))
 	t.Cleanup(func() {
 		c.Close()
 		if err := s.Close(); err != nil {
@@ -76,17 +76,17 @@
 	return c
 }
 
-// TestASilentConnectionIsReplaced holds that a call which gets no answer on a connection
-// that says nothing ends that connection, so that the next one is answered over a new one,
-// and that one which says something is kept.
-func TestASilentConnectionIsReplaced(t *testing.T) {
+// TestIdleConnectionIsReplaced checks that a call that exceeds its deadline on a silent connection
+// closes that connection, so that the next call is answered over a new one, and that a connection on
+// which data comes is kept.
+func TestIdleConnectionIsReplaced(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := &muted{Listener: l}
+	m := &mutableListener{Listener: l}
 	m.silent.Store(&atomic.Bool{})
-	c := echo(t, m, 0)
+	c := startEcho(t, m, 0)
 	call := func(method string) error {
 		ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 		defer cancel()
@@ -111,21 +111,22 @@
 		}
 	}
 	if err := call("echo"); err != nil || m.accepted.Load() != 2 {
-		t.Errorf("%v over %d connections, want that one which answers other calls is kept", err, m.accepted.Load())
+		t.Errorf("%v over %d connections, want the connection that answers other calls to be kept", err, m.accepted.Load())
 	}
 }
 
-// TestACallMeetsSilenceOnce holds that a call over a connection which has fallen silent is
-// answered over a new one, where the client bears no silence, and that silence on a new one ends it.
-func TestACallMeetsSilenceOnce(t *testing.T) {
-	const silence = 100 * time.Millisecond
+// TestCallIsRepeatedAfterIdleTimeout checks that a call over a connection that has fallen silent is
+// answered over a new one if the client has an idle timeout, and that the idle timeout on a new
+// connection ends the call.
+func TestCallIsRepeatedAfterIdleTimeout(t *testing.T) {
+	const idleTimeout = 100 * time.Millisecond
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := &muted{Listener: l}
+	m := &mutableListener{Listener: l}
 	m.silent.Store(&atomic.Bool{})
-	c := echo(t, m, silence)
+	c := startEcho(t, m, idleTimeout)
 	call := func(method string) (string, error) {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
@@ -148,49 +149,49 @@
 	}
 }
 
-// slow is a listener whose connections write one piece at a time.
-type slow struct {
+// slowListener is a listener whose connections delay each write.
+type slowListener struct {
 	net.Listener
-	each time.Duration
+	delay time.Duration
 }
 
 // Accept returns a slow connection.
-func (l *slow) Accept() (net.Conn, error) {
+func (l *slowListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &slowConn{conn, l.each}, nil
+	return &slowConn{conn, l.delay}, nil
 }
 
-// slowConn is one such connection.
+// slowConn is a connection of a slowListener.
 type slowConn struct {
 	net.Conn
-	each time.Duration
+	delay time.Duration
 }
 
-// Write pauses before each piece.
+// Write waits before each write.
 func (c *slowConn) Write(p []byte) (int, error) {
-	<-time.After(c.each)
+	<-time.After(c.delay)
 	return c.Conn.Write(p)
 }
 
-// TestALongAnswerIsNoSilence holds that a call whose answer comes slowly goes on for longer
-// than the client bears silence. The request is short: encoding and reading one of 112 KB took up to 0.9 s
-// with the race detector and 24 copies beside each other, in which nothing can come.
-func TestALongAnswerIsNoSilence(t *testing.T) {
-	const silence = time.Second
+// TestSlowAnswerIsNotIdle checks that a call whose answer comes slowly may last longer than the idle
+// timeout. The request is short: encoding and reading one of 112 KB took up to 0.9 s with the race
+// detector and 24 copies of the test in parallel, and nothing can come in that time.
+func TestSlowAnswerIsNotIdle(t *testing.T) {
+	const idleTimeout = time.Second
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := echo(t, &slow{l, 300 * time.Millisecond}, silence)
+	c := startEcho(t, &slowListener{l, 300 * time.Millisecond}, idleTimeout)
 	begin := time.Now()
 	var got string
 	if err := c.Call(context.Background(), l.Addr().String(), "long", "", &got); err != nil || got != longAnswer {
-		t.Errorf("%d bytes, %v, want %d", len(got), err, len(longAnswer))
+		t.Errorf("got %d bytes, error %v, want %d bytes", len(got), err, len(longAnswer))
 	}
-	if took := time.Since(begin); took < 2*silence {
+	if took := time.Since(begin); took < 2*idleTimeout {
 		t.Errorf("it took %v, too little to show anything", took)
 	}
 }
--- a/internal/peer/conn.go
+++ b/internal/peer/conn.go
@@ -1,5 +1,5 @@
-// Package peer carries JSON-RPC 2.0 calls between nodes over TCP. It counts
-// every byte it sends and receives, since control traffic has a budget.
+// Package peer carries JSON-RPC 2.0 calls between nodes over TCP. It counts all bytes sent and
+// received, since control traffic has a budget.
 package peer
 
 import (
@@ -13,50 +13,50 @@
 )
 
 const (
-	// writeTimeout bounds the writing of one piece to a peer; a peer that takes nothing for
-	// this long loses its connection. One that takes a long message slowly keeps it.
+	// writeTimeout bounds the write of one chunk to a peer. A peer that accepts no data for this long
+	// loses its connection; one that accepts a long message slowly keeps it.
 	writeTimeout = 2 * time.Second
-	writePiece   = 16 << 10 // writePiece is the size of a piece, in bytes: 13 ms at 10 Mbit/s.
+	maxWriteSize = 16 << 10 // maxWriteSize is the size of a chunk in bytes: 13 ms at 10 Mbit/s.
 
 	// dialTimeout bounds the opening of a connection to a peer.
 	dialTimeout = 500 * time.Millisecond
 )
 
-// Traffic counts control bytes and messages. The zero value is ready.
+// Traffic counts control bytes and calls. The zero value is ready to use.
 type Traffic struct {
 	BytesOut, BytesIn atomic.Int64
 	Calls             atomic.Int64
 }
 
-// countingConn counts bytes and bounds each write.
+// countingConn counts bytes and bounds the time of each write.
 type countingConn struct {
 	net.Conn
-	traffic *Traffic
-	reads   atomic.Int64 // reads counts the reads that brought bytes.
-	readAt  atomic.Int64 // readAt is when the last of them did, in nanoseconds since the connection was opened.
-	opened  time.Time
+	traffic    *Traffic
+	reads      atomic.Int64 // reads counts the reads that returned data.
+	lastReadAt atomic.Int64 // lastReadAt is when the last of them returned, in nanoseconds since the connection was opened.
+	opened     time.Time
 }
 
-// Read reads and counts.
+// Read reads data and counts it.
 func (c *countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.traffic.BytesIn.Add(int64(n))
 	if n > 0 {
 		c.reads.Add(1)
-		c.readAt.Store(int64(clock.Since(c.opened)))
+		c.lastReadAt.Store(int64(clock.Since(c.opened)))
 	}
 	return n, err
 }
 
-// Write writes each piece within the time bound, and counts.
+// Write writes data in chunks with a timeout each, and counts it.
 func (c *countingConn) Write(p []byte) (int, error) {
 	written := 0
 	for {
-		piece := p[written:min(len(p), written+writePiece)]
+		chunk := p[written:min(len(p), written+maxWriteSize)]
 		if err := c.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 			return written, err
 		}
-		n, err := c.Conn.Write(piece)
+		n, err := c.Conn.Write(chunk)
 		written += n
 		c.traffic.BytesOut.Add(int64(n))
 		if err != nil || written == len(p) {
@@ -65,14 +65,13 @@
 	}
 }
 
-// quietFor returns for how long nothing has come on the connection since a moment, not
-// counting the time before that.
-func (c *countingConn) quietFor(now, since time.Time) time.Duration {
-	heard := c.opened.Add(time.Duration(c.readAt.Load()))
-	if heard.Before(since) {
-		heard = since
+// idleTime returns how long nothing has come on the connection, counted from since at the earliest.
+func (c *countingConn) idleTime(now, since time.Time) time.Duration {
+	lastRead := c.opened.Add(time.Duration(c.lastReadAt.Load()))
+	if lastRead.Before(since) {
+		lastRead = since
 	}
-	return now.Sub(heard)
+	return now.Sub(lastRead)
 }
 
 // stream frames messages on a connection.
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -15,13 +15,13 @@
 )
 
 type (
-	// Handler answers one method. Its result is encoded as JSON; a nil result
-	// is fine for notifications.
+	// Handler answers calls of one method. Its result is encoded as JSON; it may be nil for
+	// notifications.
 	Handler func(ctx context.Context, params json.RawMessage) (any, error)
 
-	// Sent is implemented by results that hold something until they are sent.
-	Sent interface {
-		// Sent is called once the result was written, or could not be.
+	// SentNotifier is implemented by results that hold a resource until they are sent.
+	SentNotifier interface {
+		// Sent is called after the result was written or could not be written.
 		Sent()
 	}
 
@@ -40,7 +40,7 @@
 	}
 )
 
-// NewServer returns a server on a listener; Handle adds methods before Serve.
+// NewServer returns a server on a listener. Add methods with Handle before Serve.
 func NewServer(listener net.Listener, traffic *Traffic, log *slog.Logger) *Server {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Server{
@@ -54,10 +54,9 @@
 	}
 }
 
-// Handle adds a method.
 func (s *Server) Handle(method string, h Handler) { s.handlers[method] = h }
 
-// Typed makes a handler out of a function with a typed parameter.
+// Typed returns a handler that decodes the parameters into a P.
 func Typed[P any](f func(ctx context.Context, params *P) (any, error)) Handler {
 	return func(ctx context.Context, raw json.RawMessage) (any, error) {
 		p := new(P)
@@ -74,7 +73,7 @@
 		conn, err := s.listener.Accept()
 		if err != nil {
 			if !errors.Is(err, net.ErrClosed) {
-				s.log.Error("peer listener failed", "error", err.Error())
+				s.log.Error("accepting peer connections failed", "error", err.Error())
 			}
 			return
 		}
@@ -88,8 +87,8 @@
 	defer s.wg.Done()
 	ctx, cancel := context.WithCancel(s.ctx)
 	defer cancel()
-	rpc := jsonrpc2.NewConn(ctx, stream(&countingConn{Conn: conn, traffic: s.traffic, opened: clock.Now()}), jsonrpc2.AsyncHandler(handler{s}),
-		jsonrpc2.SetLogger(discard{}))
+	rpc := jsonrpc2.NewConn(ctx, stream(&countingConn{Conn: conn, traffic: s.traffic, opened: clock.Now()}), jsonrpc2.AsyncHandler(requestHandler{s}),
+		jsonrpc2.SetLogger(noLogger{}))
 	s.mu.Lock()
 	s.conns[rpc] = true
 	s.mu.Unlock()
@@ -103,23 +102,23 @@
 	s.mu.Unlock()
 }
 
-// handler answers the requests of a connection.
-type handler struct{ server *Server }
+// requestHandler handles the requests of a connection.
+type requestHandler struct{ server *Server }
 
-// Handle answers a request, and tells the result when it was sent.
-func (h handler) Handle(ctx context.Context, conn *jsonrpc2.Conn, req *jsonrpc2.Request) {
+// Handle answers a request and notifies the result once it was sent.
+func (h requestHandler) Handle(ctx context.Context, conn *jsonrpc2.Conn, req *jsonrpc2.Request) {
 	var result any
 	jsonrpc2.HandlerWithError(func(ctx context.Context, conn *jsonrpc2.Conn, req *jsonrpc2.Request) (any, error) {
 		var err error
 		result, err = h.server.dispatch(ctx, conn, req)
 		return result, err
 	}).Handle(ctx, conn, req)
-	if r, ok := result.(Sent); ok {
+	if r, ok := result.(SentNotifier); ok {
 		r.Sent()
 	}
 }
 
-// dispatch finds the handler of a request and runs it.
+// dispatch runs the handler of a request.
 func (s *Server) dispatch(ctx context.Context, conn *jsonrpc2.Conn, req *jsonrpc2.Request) (any, error) {
 	s.traffic.Calls.Add(1)
 	h := s.handlers[req.Method]
@@ -143,7 +142,7 @@
 	return h(ctx, *req.Params)
 }
 
-// Close stops accepting, drops all connections and waits for their goroutines.
+// Close stops accepting, closes all connections and waits for their goroutines.
 func (s *Server) Close() error {
 	s.cancel()
 	err := s.listener.Close()
@@ -154,8 +153,7 @@
 	return nil
 }
 
-// discard drops the library's own log lines; errors reach the caller anyway.
-type discard struct{}
+// noLogger drops the log lines of the jsonrpc2 library; errors are returned to the caller anyway.
+type noLogger struct{}
 
-// Printf drops a line.
-func (discard) Printf(string, ...any) {}
+func (noLogger) Printf(string, ...any) {}
