--- a/internal/gossip/cadence.go
+++ b/internal/gossip/cadence.go
@@ -66,7 +66,7 @@
 type target struct {
 	Peer
 	rounds   int  // rounds is the number of rounds between two messages to it.
-	withHubs bool // withHubs says that the message includes the addresses of the chosen hubs.
+	withHubs bool // withHubs reports whether the message includes the addresses of the chosen hubs.
 }
 
 // targets returns the peers to send to in this round, and forgets peers that have been silent for
--- a/internal/gossip/count.go
+++ b/internal/gossip/count.go
@@ -34,7 +34,7 @@
 
 // TotalNodes returns the number of nodes, this one included, alive or not. A hub knows the nodes of
 // its own hall and gets the counts of other halls from their hubs; a spoke gets the total from its
-// hubs. sure says that the nodes of all halls are counted.
+// hubs. sure reports whether the nodes of all halls are counted.
 func (g *Gossip) TotalNodes() (nodes int, sure bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -54,12 +54,12 @@
 		mu         sync.Mutex
 		peers      map[string]*Peer
 		lastState  State // lastState is the state sent last.
-		urgent     bool  // urgent says that the next state has newer table versions or a new hub choice.
+		urgent     bool  // urgent reports whether the next state has newer table versions or a new hub choice.
 		seq        uint32
 		sentTimes  [sentHistory]time.Time       // sentTimes holds the send times of the newest messages by sequence number.
 		recentUses [usesHistory][]placement.Use // recentUses holds the prompt parts of the newest rounds by round; only send uses it.
 
-		isHub         bool                 // isHub says that this node is a hub.
+		isHub         bool                 // isHub reports whether this node is a hub.
 		hubs          map[string]bool      // hubs are the nodes that are taken for hubs, in all halls.
 		chosenHubs    []string             // chosenHubs are the hubs that this node, as a hub, chose for its hall.
 		choiceVersion int                  // choiceVersion counts changes of chosenHubs.
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -66,9 +66,9 @@
 	return g, stop
 }
 
-// TestNodesHearEachOther checks that a node learns of another node that was only told of it, that
-// states arrive complete, that the receive time is between the sending and now, and that a silent peer
-// stops counting as alive.
+// TestNodesHearEachOther checks that two nodes hear each other if one of them was told of the other,
+// that states arrive complete, that the receive time is between the sending and now, and that a silent
+// peer stops counting as alive.
 func TestNodesHearEachOther(t *testing.T) {
 	a := &node{changed: make(chan struct{}, 1)}
 	b := &node{changed: make(chan struct{}, 1), state: gossip.State{
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -29,15 +29,15 @@
 	// are ignored, and missing ones are zero. A number must never be reused for another meaning, and
 	// the zero value of a new field must mean that nothing was reported.
 	State struct {
-		Ready             bool                         `cbor:"1,keyasint,omitempty"`  // Ready says that the node takes callers.
-		Stopping          bool                         `cbor:"2,keyasint,omitempty"`  // Stopping says that the node is shutting down.
+		Ready             bool                         `cbor:"1,keyasint,omitempty"`  // Ready reports whether the node takes callers.
+		Stopping          bool                         `cbor:"2,keyasint,omitempty"`  // Stopping reports whether the node is shutting down.
 		Rate              float32                      `cbor:"3,keyasint,omitempty"`  // Rate is the number of requests served per second.
 		Loads             map[string]placement.Load    `cbor:"4,keyasint,omitempty"`  // Loads is the node's own load by engine.
 		Uses              []placement.Use              `cbor:"5,keyasint,omitempty"`  // Uses are the prompt parts sent to engines since the last message to the receiver.
 		Versions          map[string]int64             `cbor:"6,keyasint,omitempty"`  // Versions are the versions of the node's tables.
 		ConfigVersion     int                          `cbor:"7,keyasint,omitempty"`  // ConfigVersion is the version of the configuration in force.
 		ProofAgeMs        int64                        `cbor:"8,keyasint,omitempty"`  // ProofAgeMs is the age of the proof that this version is the newest; -1 for none.
-		CannotReadStore   bool                         `cbor:"9,keyasint,omitempty"`  // CannotReadStore says that the node leaves reading the platform's store to others for now.
+		CannotReadStore   bool                         `cbor:"9,keyasint,omitempty"`  // CannotReadStore reports whether the node leaves reading the platform's store to others for now.
 		StoreSilentMs     int64                        `cbor:"10,keyasint,omitempty"` // StoreSilentMs is how long a node that reads the store has had no answer; -1 if it does not read.
 		StoreFailureAgeMs int64                        `cbor:"11,keyasint,omitempty"` // StoreFailureAgeMs is the time since its last call to the store failed; -1 if none has.
 		Places            map[string][]dispatch.Places `cbor:"12,keyasint,omitempty"` // Places holds recent results of the tiers, by pool.
--- a/internal/gossip/send.go
+++ b/internal/gossip/send.go
@@ -21,8 +21,8 @@
 // payloadKind distinguishes the payloads of a round; targets of the same kind share one.
 type payloadKind struct {
 	rounds   int  // rounds is the number of rounds that the payload covers.
-	full     bool // full says that the payload has all held requests, limits and leaving engines, not only recent entries.
-	withHubs bool // withHubs says that the payload has the addresses of the chosen hubs.
+	full     bool // full reports whether the payload has all held requests, limits and leaving engines, not only recent entries.
+	withHubs bool // withHubs reports whether the payload has the addresses of the chosen hubs.
 }
 
 // selectEntries returns the entries of a list, sorted newest first, that go into a payload: all or
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -14,10 +14,10 @@
 )
 
 var (
-	// ErrUnreachable says that no connection to a peer could be opened; nothing was sent.
+	// ErrUnreachable is returned if no connection to a peer could be opened; nothing was sent.
 	ErrUnreachable = errors.New("peer: not reachable")
 
-	// ErrIdleTimeout says that nothing came from a peer within the client's idle timeout.
+	// ErrIdleTimeout is returned if nothing came from a peer within the client's idle timeout.
 	ErrIdleTimeout = errors.New("peer: no data received within the idle timeout")
 )
 
@@ -41,9 +41,9 @@
 	}
 )
 
-// idleTimeoutError says that a peer sent nothing for the idle timeout during a call.
+// idleTimeoutError is the error of a call in which the peer sent nothing for the idle timeout.
 type idleTimeoutError struct {
-	reused bool // reused says that data had come on the connection before the call.
+	reused bool // reused reports whether data had come on the connection before the call.
 }
 
 // Error implements error.
--- a/internal/register/register.go
+++ b/internal/register/register.go
@@ -50,7 +50,7 @@
 	rereadInterval = time.Minute
 )
 
-// errInvalidNode says that a row lacks a field that every node writes.
+// errInvalidNode is returned for a row that lacks a field that every node writes.
 var errInvalidNode = errors.New("a node's name, hall or address is missing")
 
 type (
@@ -82,14 +82,14 @@
 		self       gossip.NodeInfo
 		key        string    // key is the key of this node's row.
 		halls      []string  // halls are all halls, this node's first.
-		firstStart bool      // firstStart says that the whole system starts for the first time.
+		firstStart bool      // firstStart reports whether the whole system starts for the first time.
 		startedAt  time.Time // startedAt is when this node started.
 		peers      Peers
 		log        *slog.Logger
 
 		row           atomic.Pointer[feed.Row] // row is this node's row; nil if there is none.
 		joined        atomic.Bool
-		headsRead     bool          // headsRead says that the heads of all halls were read.
+		headsRead     bool          // headsRead reports whether the heads of all halls were read.
 		rereads       int           // rereads counts the heads that were reread.
 		nextReread    time.Time     // nextReread is when the next head is due for rereading.
 		isolatedSince time.Time     // isolatedSince is since when this node hears no peer, or when it last searched; zero if it hears one.
@@ -97,7 +97,7 @@
 	}
 )
 
-// New returns a Register; halls are all halls, and firstStart says that the whole system starts for
+// New returns a Register; halls are all halls, and firstStart reports whether the whole system starts for
 // the first time.
 func New(now time.Time, store Store, self gossip.NodeInfo, halls []string, firstStart bool, peers Peers, log *slog.Logger) *Register {
 	others := slices.DeleteFunc(slices.Clone(halls), func(hall string) bool { return hall == self.Hall })
