--- a/internal/limit/limits.go
+++ b/internal/limit/limits.go
@@ -96,7 +96,7 @@
 	l.log.Info("engine limit", "engine", engine, "rate", rate, "before", known.rate, "from", from, "age_ms", now.Sub(at).Milliseconds())
 	l.setRate(known, rate)
 	known.learnedAt, known.nextPermit = now, time.Time{}
-	l.gossip.Changed(engine)
+	l.gossip.MarkChanged(engine)
 }
 
 // setRate sets the rate of an engine and updates the number of engines that have a limit. The caller holds the lock.
