--- a/internal/edge/absence.go
+++ b/internal/edge/absence.go
@@ -9,14 +9,16 @@
 	"github.com/croftturn/croftturn/internal/pause"
 )
 
-// leastAbsence is the shortest absence after which this node proves its configuration and reads its engines anew: below
-// it lies what a busy machine holds a process up for.
-const leastAbsence = 500 * time.Millisecond
+// minAbsence is the shortest time for which the process was suspended that counts as an absence,
+// after which this node verifies its configuration and reads its engines again. A busy machine may
+// delay a process for less than this.
+const minAbsence = 500 * time.Millisecond
 
-// returned is called after an absence, before anything else is decided; it is a clock.Hook. No key is believed, and
-// no connection that has rested is trusted, until what it could not hear of is known.
-func (e *Edge) returned(now time.Time, away time.Duration) {
-	if away < leastAbsence {
+// afterAbsence is a clock.Hook that runs after the process was suspended, before any other
+// decision. Until the node has caught up on the changes it missed, no key is accepted and no idle
+// connection is reused.
+func (e *Edge) afterAbsence(now time.Time, away time.Duration) {
+	if away < minAbsence {
 		return
 	}
 	e.proof.Forget(now)
@@ -24,32 +26,33 @@
 	e.egress.ForgetAll()
 	e.absences.Add(1)
 	select {
-	case e.back <- away:
-	default: // The one before is still being made up for.
+	case e.absenceEnded <- away:
+	default: // An earlier absence is still being handled.
 	}
 }
 
-// makeUp makes up for absences until the context ends.
-func (e *Edge) makeUp(ctx context.Context) {
+// handleAbsences refreshes the node's state after each absence, until the context ends.
+func (e *Edge) handleAbsences(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case away := <-e.back:
+		case away := <-e.absenceEnded:
 			begin := clock.Now()
-			e.log.Warn("process was away", "away_ms", away.Milliseconds(), "active", e.dispatcher.Active())
+			e.log.Warn("process was suspended", "away_ms", away.Milliseconds(), "active", e.dispatcher.Active())
 			e.discovery.Expire(begin)
-			e.readAnew(ctx)
-			e.log.Info("process is back", "proven", e.proof.Fresh(clock.Now()), "after_ms", clock.Since(begin).Milliseconds())
+			e.refreshTables(ctx)
+			e.log.Info("process has caught up after a suspension", "proven", e.proof.Fresh(clock.Now()), "after_ms", clock.Since(begin).Milliseconds())
 		}
 	}
 }
 
-// readAnew reads the configuration and the engines once, whoever else does, until the configuration is proven. One
-// call each renews what peers would tell a second or more later.
-func (e *Edge) readAnew(ctx context.Context) {
-	config := &feed.Reader{Table: e.config, Source: e.store, Proven: e.proven, Lost: e.lost, Log: e.log}
-	engines := &feed.Reader{Table: e.engines, Source: e.store, Proven: e.answered, Lost: e.lost, Log: e.log}
+// refreshTables reads the configuration and the engines until the configuration is proven, even
+// where other nodes do the reading. One call for each table returns what peers would pass on a
+// second or more later.
+func (e *Edge) refreshTables(ctx context.Context) {
+	config := &feed.Reader{Table: e.configTable, Source: e.store, Proven: e.configProven, Lost: e.storeFailed, Log: e.log}
+	engines := &feed.Reader{Table: e.engineTable, Source: e.store, Proven: e.storeAnswered, Lost: e.storeFailed, Log: e.log}
 	var backoff pause.Backoff
 	for ctx.Err() == nil && !e.proof.Fresh(clock.Now()) {
 		err := config.Read(ctx)
@@ -57,7 +60,7 @@
 			err = engines.Read(ctx)
 		}
 		if err != nil {
-			e.log.Warn("store not read after an absence", "error", err.Error())
+			e.log.Warn("could not read the store after a suspension; retrying", "error", err.Error())
 			backoff.Wait(ctx)
 		}
 	}
--- a/internal/edge/config.go
+++ b/internal/edge/config.go
@@ -9,15 +9,16 @@
 	"github.com/croftturn/croftturn/platform"
 )
 
-// takeConfig puts changes of the operators in force; it is a feed.Consumer. Evacuations go before a
-// configuration: no request is taken by a node that starts before it knows of them.
-func (e *Edge) takeConfig(now time.Time, rows []feed.Row) {
+// applyConfig applies changes to the operators' table; it is a feed.Consumer. Evacuations are
+// applied before the configuration, so that a starting node accepts no request before it knows of
+// them.
+func (e *Edge) applyConfig(now time.Time, rows []feed.Row) {
 	begin := clock.Now()
 	e.evacuations.Take(now, platform.Evacuations(rows))
 	table, err := platform.Config(rows)
 	if err != nil {
 		e.configsRefused.Add(1)
-		e.log.Error("configuration not understood; the one before stays in force", "in_force", e.dispatcher.Version(), "error", err.Error())
+		e.log.Error("configuration rejected; the previous one stays in force", "in_force", e.dispatcher.Version(), "error", err.Error())
 		return
 	}
 	if table == nil {
@@ -31,8 +32,8 @@
 	e.log.Info("configuration", "version", table.Version, "before", before, "taken", taken, "ms", clock.Since(begin).Milliseconds())
 }
 
-// coldLimit returns how many requests an engine of a pool may get in any second while it is cold, from all nodes together; 0
-// for any number.
+// coldLimit returns how many requests a cold engine of a pool may get in any second from all nodes
+// together; 0 for no limit.
 func (e *Edge) coldLimit(p *routing.Pool) float64 {
 	if p.ColdRate <= 0 {
 		return 0
--- a/internal/edge/crash_rig_test.go
+++ b/internal/edge/crash_rig_test.go
@@ -21,42 +21,42 @@
 	"github.com/croftturn/croftturn/internal/gossip"
 )
 
-// crashWorld is some nodes, and engines that one request crashes.
-type crashWorld struct {
-	nodes   []*Edge
-	engines []*crashingEngine
-	address string        // address is the store's.
-	runs    time.Duration // runs is how long a request is at work.
-	back    time.Duration // back is how long after its end an engine starts again.
+// crashCluster is a set of nodes, and of engines that a certain request crashes.
+type crashCluster struct {
+	nodes        []*Edge
+	engines      []*crashingEngine
+	address      string        // address is the store's.
+	runTime      time.Duration // runTime is how long an engine runs a request.
+	restartDelay time.Duration // restartDelay is how long after a crash an engine starts again.
 
 	mu       sync.Mutex
-	held     map[string]string // held are the rows of what is held, by key.
-	arrivals []time.Time       // arrivals are when the request reached engines.
+	held     map[string]string // held are the stored rows of held requests, by key.
+	arrivals []time.Time       // arrivals are when the crashing request reached engines.
 	crashes  []time.Time       // crashes are when it crashed them.
 }
 
-// crashingEngine is a stand-in engine that ends under one request, and starts again a while later.
+// crashingEngine is a fake engine that crashes on a certain request and restarts after a delay.
 type crashingEngine struct {
-	world   *crashWorld
+	cluster *crashCluster
 	address string
 
 	mu     sync.Mutex
 	server *http.Server
-	gone   chan struct{} // gone is closed when the engine is, for good.
+	closed chan struct{} // closed is closed when the engine is to stay down.
 	wg     sync.WaitGroup
 }
 
-// serve begins an incarnation.
+// serve starts an incarnation of the engine.
 func (e *crashingEngine) serve(t *testing.T, l net.Listener) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	server := &http.Server{Handler: e, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)}
 	e.server = server
 	e.wg.Go(func() {
-		_ = server.Serve(l) // It ends with its close.
+		_ = server.Serve(l) // It returns when the server is closed.
 		select {
-		case <-time.After(e.world.back):
-		case <-e.gone:
+		case <-time.After(e.cluster.restartDelay):
+		case <-e.closed:
 			return
 		}
 		again, err := net.Listen("tcp", e.address)
@@ -66,17 +66,17 @@
 		}
 		e.serve(t, again)
 		select {
-		case <-e.gone:
-			e.crash() // It was closed meanwhile.
+		case <-e.closed:
+			e.crash() // The engine was closed in the meantime.
 		default:
 		}
 	})
 }
 
-// close ends the engine for good.
+// close stops the engine for good.
 func (e *crashingEngine) close() {
 	e.mu.Lock()
-	close(e.gone)
+	close(e.closed)
 	e.server.Close()
 	e.mu.Unlock()
 	e.wg.Wait()
@@ -89,7 +89,7 @@
 	e.server.Close()
 }
 
-// ServeHTTP runs one request.
+// ServeHTTP runs one request, and crashes after it if its body begins with crashingBody.
 func (e *crashingEngine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -97,15 +97,15 @@
 	}
 	crashes := strings.HasPrefix(string(body), crashingBody)
 	if crashes {
-		e.world.note(&e.world.arrivals)
+		e.cluster.recordTime(&e.cluster.arrivals)
 	}
 	select {
-	case <-time.After(e.world.runs):
+	case <-time.After(e.cluster.runTime):
 	case <-r.Context().Done():
 		return
 	}
 	if crashes {
-		e.world.note(&e.world.crashes)
+		e.cluster.recordTime(&e.cluster.crashes)
 		e.crash()
 		panic(http.ErrAbortHandler)
 	}
@@ -114,19 +114,19 @@
 	fmt.Fprint(w, "well")
 }
 
-// note adds the present moment to a list.
-func (w *crashWorld) note(list *[]time.Time) {
+// recordTime adds the current time to a list.
+func (w *crashCluster) recordTime(list *[]time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	*list = append(*list, time.Now())
 }
 
-// store answers reads with the configuration and with the engines' entries.
-func (w *crashWorld) store(rw http.ResponseWriter, r *http.Request) {
+// store is the store's handler: it returns the configuration, the engines and the held requests.
+func (w *crashCluster) store(rw http.ResponseWriter, r *http.Request) {
 	var rows []string
 	switch table := r.URL.Query().Get("table"); {
 	case r.URL.Path == "/-/rows-tx":
-		w.take(r)
+		w.writeHeld(r)
 	case table == "croftturn-held":
 		w.mu.Lock()
 		rows = slices.Collect(maps.Values(w.held))
@@ -144,8 +144,8 @@
 	fmt.Fprintf(rw, `{"rows":[%s],"ver":7,"now_ms":%d}`, strings.Join(rows, ","), time.Now().UnixMilli())
 }
 
-// take takes a transaction of the rows of what is held; it keeps no others.
-func (w *crashWorld) take(r *http.Request) {
+// writeHeld applies a transaction on the rows of held requests; it ignores all other rows.
+func (w *crashCluster) writeHeld(r *http.Request) {
 	var tx struct {
 		Puts, Remove []struct {
 			Table string `json:"table"`
@@ -168,30 +168,30 @@
 	}
 }
 
-// kept returns how many rows of what is held the store has.
-func (w *crashWorld) kept() int {
+// storedHeld returns how many held requests the store has.
+func (w *crashCluster) storedHeld() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.held)
 }
 
-// soFar returns when the request crashed engines so far.
-func (w *crashWorld) soFar() []time.Time {
+// crashTimes returns when engines have crashed so far.
+func (w *crashCluster) crashTimes() []time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return slices.Clone(w.crashes)
 }
 
-// newCrashWorld starts engines and nodes that know each other.
-func newCrashWorld(t *testing.T, engines, nodes int, runs, back time.Duration) *crashWorld {
+// newCrashCluster starts engines, a store and nodes that know each other.
+func newCrashCluster(t *testing.T, engines, nodes int, runTime, restartDelay time.Duration) *crashCluster {
 	t.Helper()
-	w := &crashWorld{held: map[string]string{}, runs: runs, back: back}
+	w := &crashCluster{held: map[string]string{}, runTime: runTime, restartDelay: restartDelay}
 	for range engines {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		e := &crashingEngine{world: w, address: l.Addr().String(), gone: make(chan struct{})}
+		e := &crashingEngine{cluster: w, address: l.Addr().String(), closed: make(chan struct{})}
 		e.serve(t, l)
 		t.Cleanup(e.close)
 		w.engines = append(w.engines, e)
@@ -203,19 +203,20 @@
 	return w
 }
 
-// startNodes starts nodes in place of those before, and waits until they are ready and know each other.
-func (w *crashWorld) startNodes(t *testing.T, nodes int) {
+// startNodes starts nodes that replace the previous ones, and waits until they are ready and have
+// heard from each other.
+func (w *crashCluster) startNodes(t *testing.T, nodes int) {
 	t.Helper()
 	w.nodes = nil
 	for i := range nodes {
 		w.nodes = append(w.nodes, startNode(t, fmt.Sprint("n", i), w.address))
 	}
-	acquaint(t, w.nodes)
+	connect(t, w.nodes)
 }
 
-// acquaint makes nodes known to each other, and waits until they are ready and have heard each other. Where they are many, spokes
-// hear hubs alone.
-func acquaint(t *testing.T, nodes []*Edge) {
+// connect introduces nodes to each other, and waits until they are ready and have heard from each
+// other. In a large cluster spokes hear from hubs only.
+func connect(t *testing.T, nodes []*Edge) {
 	t.Helper()
 	introduce(nodes)
 	for _, e := range nodes {
@@ -227,7 +228,7 @@
 	}
 }
 
-// introduce makes nodes known to each other.
+// introduce adds all nodes to each other's gossip members.
 func introduce(nodes []*Edge) {
 	now := time.Now()
 	for _, e := range nodes {
@@ -238,19 +239,19 @@
 	}
 }
 
-// startNode starts a node that ends with the test.
+// startNode starts a node that is stopped at the end of the test.
 func startNode(t *testing.T, name, store string) *Edge {
 	t.Helper()
 	e, err := Start(context.Background(), newSettings(t, name, store), io.Discard)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = e.stop() }) // The test may have stopped it.
+	t.Cleanup(func() { _ = e.stop() }) // The test may have stopped it already.
 	return e
 }
 
-// post sends a request with a body to a node and returns the status, 0 where no whole answer came.
-func (w *crashWorld) post(node int, id, body string) int {
+// post sends a request to a node and returns the status, or 0 if no complete answer came.
+func (w *crashCluster) post(node int, id, body string) int {
 	r, err := http.NewRequest(http.MethodPost, "http://"+w.nodes[node].settings.CallerAddress+"/a/x", strings.NewReader(body))
 	if err != nil {
 		return 0
@@ -270,30 +271,31 @@
 	return resp.StatusCode
 }
 
-// third returns when the request crashed an engine for the third time; ok is false before.
-func (w *crashWorld) third() (at time.Time, ok bool) {
-	crashes := w.soFar()
+// thirdCrash returns the time of the third crash; ok is false if there have been fewer.
+func (w *crashCluster) thirdCrash() (at time.Time, ok bool) {
+	crashes := w.crashTimes()
 	if len(crashes) < 3 {
 		return time.Time{}, false
 	}
 	return crashes[2], true
 }
 
-// load sends requests at an interval, each with the body of its number, while also is called with each; it returns how many were served.
-func (w *crashWorld) load(n int, every time.Duration, body func(i int) string, also func(i int)) (served int64) {
+// load sends n requests at an interval, with the body that the function body returns for each
+// number, calls also with each number, and returns how many requests were served.
+func (w *crashCluster) load(n int, every time.Duration, body func(i int) string, also func(i int)) (served int64) {
 	var wg sync.WaitGroup
-	var well atomic.Int64
+	var ok atomic.Int64
 	tick := time.NewTicker(every)
 	defer tick.Stop()
 	for i := range n {
 		<-tick.C
 		wg.Go(func() {
 			if w.post(i%len(w.nodes), fmt.Sprint("other-", i), body(i)) == http.StatusOK {
-				well.Add(1)
+				ok.Add(1)
 			}
 		})
 		wg.Go(func() { also(i) })
 	}
 	wg.Wait()
-	return well.Load()
+	return ok.Load()
 }
--- a/internal/edge/crash_test.go
+++ b/internal/edge/crash_test.go
@@ -11,45 +11,45 @@
 	"time"
 )
 
-// What users saw: engines that run models ended one after another, up to 15 in as many seconds, and
-// with each all that it had at work. The order of events: a caller sent a request; the engine that ran it
-// crashed; the request came again, at another node, and crashed another engine; and so on, 9 times more
-// than the three that it may take to learn what it does. The cause: nodes knew of each request by itself and for as
-// long as it lasted, and of engines only that they fail. Which requests had been at work when an engine ended,
-// nobody remembered or told the other nodes. The evidence: at each of 13 ends that the logs hold one request of
-// the same team, prompt and size was at work, at all six nodes in turn, sent once each time; no other came twice.
+// These tests guard against a request that crashes the engine running it and is sent again and again,
+// to one node after another: up to 15 engines crashed in 15 seconds, each with all its requests. Three
+// crashes may be needed to identify such a request; it caused 9 more, since nodes neither remembered nor
+// told each other which requests an engine was running when it crashed. In the logs of 13 crashes the same
+// request (team, prompt and size) was running each time, sent once each at all six nodes in turn; no other
+// request occurred twice.
 
 const (
-	// crashingBody begins the bodies of requests that crash engines.
+	// crashingBody is the prefix of the bodies of requests that crash engines.
 	crashingBody = "crash"
 
-	// settled is how long after its third crash a request may still be on its way to engines
-	// as if nothing were known of it: nodes hear of each other within this time.
-	settled = 3 * time.Second
+	// propagationTime is how long after its third crash a request may still be sent to engines as
+	// usual: nodes learn of the crashes from each other within this time.
+	propagationTime = 3 * time.Second
 
-	// mostLater is how many more runs may begin after that.
-	mostLater = 3
+	// maxLaterRuns is how many more runs may begin after that.
+	maxLaterRuns = 3
 )
 
-// TestARequestThatCrashesEnginesReachesFew sends one request that crashes each engine again and again, to one
-// node after another, beside others of the same caller. It holds that no more than three runs of it begin later than
-// three seconds after its third crash, and that the others are served then.
+// TestARequestThatCrashesEnginesReachesFew repeatedly sends a request that crashes its engine, to
+// one node after another, among other requests of the same caller. At most maxLaterRuns runs may
+// begin later than propagationTime after the third crash, and the other requests must be served
+// from then on.
 func TestARequestThatCrashesEnginesReachesFew(t *testing.T) {
 	const nodes = 3
-	w := newCrashWorld(t, 6, nodes, 20*time.Millisecond, 300*time.Millisecond)
+	w := newCrashCluster(t, 6, nodes, 20*time.Millisecond, 300*time.Millisecond)
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	served, asked := 0, 0
 	tick := time.NewTicker(50 * time.Millisecond)
 	defer tick.Stop()
-	for i, begin := 0, time.Now(); time.Since(begin) < 2*settled; i++ {
+	for i, begin := 0, time.Now(); time.Since(begin) < 2*propagationTime; i++ {
 		now := <-tick.C
 		if i%3 == 0 {
 			wg.Go(func() { w.post(i/3%nodes, fmt.Sprint("crash-", i), crashingBody) })
 		}
 		wg.Go(func() {
 			status := w.post(i%nodes, fmt.Sprint("other-", i), fmt.Sprint("other ", i))
-			if at, ok := w.third(); ok && now.After(at.Add(settled)) {
+			if at, ok := w.thirdCrash(); ok && now.After(at.Add(propagationTime)) {
 				mu.Lock()
 				defer mu.Unlock()
 				asked++
@@ -60,63 +60,64 @@
 		})
 	}
 	wg.Wait()
-	third, ok := w.third()
+	third, ok := w.thirdCrash()
 	if !ok {
 		t.Fatalf("%d engines were crashed", len(w.crashes))
 	}
 	later := 0
 	for _, at := range w.arrivals {
-		if at.After(third.Add(settled)) {
+		if at.After(third.Add(propagationTime)) {
 			later++
 		}
 	}
 	t.Logf("%d crashes in all; the third was %v after the first", len(w.crashes), third.Sub(w.crashes[0]).Round(time.Millisecond))
-	if later > mostLater {
-		t.Errorf("%d runs began later than %v after the third crash, want %d at most; %d crashes in all", later, settled, mostLater, len(w.crashes))
+	if later > maxLaterRuns {
+		t.Errorf("%d runs began later than %v after the third crash, want %d at most; %d crashes in all", later, propagationTime, maxLaterRuns, len(w.crashes))
 	}
 	if asked == 0 || float64(served) < 0.95*float64(asked) {
 		t.Errorf("%d of %d other requests were served then", served, asked)
 	}
 }
 
-// TestWhatIsHeldOutlivesAllNodes holds that nodes which start after all were lost at once send a request that was held to no engine.
+// TestWhatIsHeldOutlivesAllNodes checks that a held request is still held, and sent to no engine,
+// after all nodes were stopped and new ones started.
 func TestWhatIsHeldOutlivesAllNodes(t *testing.T) {
 	const nodes = 3
-	w := newCrashWorld(t, 6, nodes, 20*time.Millisecond, 300*time.Millisecond)
-	for i := 0; len(w.soFar()) < 3; i++ {
+	w := newCrashCluster(t, 6, nodes, 20*time.Millisecond, 300*time.Millisecond)
+	for i := 0; len(w.crashTimes()) < 3; i++ {
 		w.post(i%nodes, fmt.Sprint("crash-", i), crashingBody)
 	}
-	waitFor(t, func() bool { return w.kept() == 1 }, "what is held was not stored")
+	waitFor(t, func() bool { return w.storedHeld() == 1 }, "the held request was not stored")
 	for _, e := range w.nodes {
 		if err := e.stop(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	time.Sleep(2 * w.back)
+	time.Sleep(2 * w.restartDelay)
 	w.startNodes(t, nodes)
 	for _, e := range w.nodes {
-		waitFor(t, func() bool { return e.quarantine.Len() == 1 }, "a node does not know what is held")
+		waitFor(t, func() bool { return e.quarantine.Len() == 1 }, "a node does not know of the held request")
 	}
 	for i := range 2 * nodes {
 		if status := w.post(i%nodes, fmt.Sprint("again-", i), crashingBody); status != http.StatusBadRequest {
-			t.Errorf("after the start it got %d, want it refused for good", status)
+			t.Errorf("status %d after the restart, want a permanent refusal", status)
 		}
 	}
-	if crashes := len(w.soFar()); crashes != 3 {
-		t.Errorf("%d engines ended, want 3", crashes)
+	if crashes := len(w.crashTimes()); crashes != 3 {
+		t.Errorf("%d engines crashed, want 3", crashes)
 	}
 	if status := w.post(0, "other", "other"); status != http.StatusOK {
 		t.Errorf("another request got %d", status)
 	}
-	w.release(t)
+	w.checkRelease(t)
 }
 
-// release holds that an operator is told of what is held and why, that only one with the token may release it, and that it is
-// free at all nodes then.
-func (w *crashWorld) release(t *testing.T) {
+// checkRelease checks that operators can list a held request with the reason, that only the
+// operators' token may release it, and that a release takes effect at all nodes.
+func (w *crashCluster) checkRelease(t *testing.T) {
 	t.Helper()
 	address := w.nodes[0].settings.AdminAddress
-	status, list := state(t, address, "", "held")
+	status, list := postStatement(t, address, "", "held")
 	row := regexp.MustCompile(`"name":"([0-9a-f]{16})".*"reason":"3 engines ended under it, on route r`).FindStringSubmatch(list)
 	if status != http.StatusOK || row == nil {
 		t.Fatalf("held: %d %s", status, list)
@@ -128,7 +129,7 @@
 		{"", "release " + row[1], http.StatusForbidden}, {operatorsToken, "release 1", http.StatusNotFound}, {operatorsToken, "drop", http.StatusBadRequest},
 		{operatorsToken, "release " + row[1], http.StatusOK}, {operatorsToken, "release " + row[1], http.StatusNotFound},
 	} {
-		if status, text := state(t, address, test.token, test.text); status != test.want {
+		if status, text := postStatement(t, address, test.token, test.text); status != test.want {
 			t.Errorf("%s with token %q: %d %s, want %d", test.text, test.token, status, text, test.want)
 		}
 	}
@@ -137,8 +138,8 @@
 	}
 }
 
-// state sends an operator's statement and returns the status and the answer.
-func state(t *testing.T, address, token, text string) (int, string) {
+// postStatement sends an operator's statement and returns the status and the body.
+func postStatement(t *testing.T, address, token, text string) (int, string) {
 	t.Helper()
 	r, err := http.NewRequest(http.MethodPost, "http://"+address+"/admin/v1/statements", strings.NewReader(`{"text":"`+text+`"}`))
 	if err != nil {
@@ -157,28 +158,29 @@
 	return resp.StatusCode, string(answer)
 }
 
-// TestSuspectsCostTheirNeighboursLittle has four requests that crash engines come at once, beside others that run for a fifth of a
-// second, and engines that are back after 4 s. It holds that 95 in 100 of the others are served all the same.
+// TestSuspectsCostTheirNeighboursLittle sends four crashing requests at the same time, among
+// others that run for 200 ms, on engines that take 4 s to restart. At least 95% of the others must
+// be served, with at most four crashes for each crashing request.
 func TestSuspectsCostTheirNeighboursLittle(t *testing.T) {
 	const others, suspects = 600, 4
-	w := newCrashWorld(t, 24, 3, 200*time.Millisecond, 4*time.Second)
+	w := newCrashCluster(t, 24, 3, 200*time.Millisecond, 4*time.Second)
 	served := w.load(others, 10*time.Millisecond, func(i int) string { return fmt.Sprint("other ", i) }, func(i int) {
 		if i%10 == 0 {
 			w.post(i/10%len(w.nodes), fmt.Sprint("crash-", i), fmt.Sprint(crashingBody, i/10%suspects))
 		}
 	})
-	ends := len(w.soFar())
-	t.Logf("%d of %d others served, %d engines ended", served, others, ends)
+	ends := len(w.crashTimes())
+	t.Logf("%d of %d others served, %d engines crashed", served, others, ends)
 	if served < others*95/100 || ends > suspects*4 {
-		t.Errorf("%d of %d others served and %d engines ended; want 95 in 100 and 4 for each of %d at most", served, others, ends, suspects)
+		t.Errorf("%d of %d others served and %d engines crashed; want at least 95%%, and at most 4 crashes for each of %d requests", served, others, ends, suspects)
 	}
 }
 
-// TestAPopularRequestIsServedThoughEnginesAreLost holds that one request which comes a hundred times a second goes on being served,
-// though four of eight engines end at once, again and again.
+// TestAPopularRequestIsServedThoughEnginesAreLost checks that a request sent a hundred times a
+// second is still served while four of eight engines repeatedly crash at the same time.
 func TestAPopularRequestIsServedThoughEnginesAreLost(t *testing.T) {
 	const asked = 600
-	w := newCrashWorld(t, 8, 3, 20*time.Millisecond, time.Second)
+	w := newCrashCluster(t, 8, 3, 20*time.Millisecond, time.Second)
 	served := w.load(asked, 10*time.Millisecond, func(int) string { return "popular" }, func(i int) {
 		if i%150 == 100 {
 			for j := range 4 {
@@ -188,6 +190,6 @@
 	})
 	t.Logf("%d of %d served", served, asked)
 	if served < asked*98/100 {
-		t.Errorf("%d of %d served, want 98 in 100", served, asked)
+		t.Errorf("%d of %d served, want at least 98%%", served, asked)
 	}
 }
--- a/internal/edge/duties.go
+++ b/internal/edge/duties.go
@@ -17,41 +17,42 @@
 )
 
 const (
-	// holderTold is for how long after a holder said so its term is told on.
-	holderTold = 3 * time.Second
+	// holderMaxAge is for how long this node passes on what a duty holder last announced.
+	holderMaxAge = 3 * time.Second
 
-	// firstDuties is how long after the first start of the whole system nobody takes the duties: until all have
-	// registered, small nodes don't know that there are larger ones.
-	firstDuties = firstReads + 300*time.Millisecond
+	// firstDutiesDelay is for how long after the first start of the whole system no node takes the
+	// duties: until all nodes have registered, small ones don't know that there are larger ones.
+	firstDutiesDelay = firstReadDelay + 300*time.Millisecond
 
-	// candidates is how many nodes stand ready to take the duties over.
-	candidates = 4
+	// maxDutyCandidates is how many nodes are candidates to take over the duties.
+	maxDutyCandidates = 4
 )
 
-// newDuties returns this node's part in the duties, or nil where the platform asks for none.
+// newDuties returns this node's duties, or nil where the settings name none.
 func (e *Edge) newDuties(now time.Time) *duty.Duties {
 	s := e.settings
 	if s.DutiesAddress == "" || len(s.Duties) == 0 {
 		return nil
 	}
-	e.dutyCalls = platform.NewDuties(s.DutiesAddress)
+	e.dutyClient = platform.NewDuties(s.DutiesAddress)
 	d := duty.New(now, duty.Settings{
 		Name: s.Instance, Process: fmt.Sprintf("%s/%x", s.Instance, clock.Wall(now).UnixNano()), PeerAddress: s.PeerAddress,
 		Apart: ms(s.LeaseMs), Window: ms(s.UsageWindowMs), Late: ms(s.UsageLateMs),
 		Usage: slices.Contains(s.Duties, settings.SettingsDutiesElemUsage), Scaling: slices.Contains(s.Duties, settings.SettingsDutiesElemScaling),
-	}, e.store, e.dutyCalls, e.calls, dutyNode{e}, e.log)
-	e.peers.Handle(duty.MethodUsage, peer.Typed(d.TakeCounts))
+	}, e.store, e.dutyClient, e.peerClient, dutyNode{e}, e.log)
+	e.peerServer.Handle(duty.MethodUsage, peer.Typed(d.TakeCounts))
 	e.metrics.usage = d.Counter
 	return d
 }
 
-// dutyNode is what the duties see of a node.
+// dutyNode is the view of a node that the duty package uses.
 type dutyNode struct{ e *Edge }
 
-// Rank returns how many nodes should hold the duties before this one: hubs that can call the store, the largest first.
+// Rank returns how many nodes come before this one as holder of the duties. Candidates are hubs
+// that can read the store, the largest first.
 func (n dutyNode) Rank(now time.Time) (rank int, ok bool) {
 	e := n.e
-	if e.settings.FirstStart && now.Sub(e.startedAt) < firstDuties || !e.register.Read() || !e.gossip.Hub() || e.dispatcher.Ready(now) == dispatch.Stopping || e.cantRead(now) {
+	if e.settings.FirstStart && now.Sub(e.startedAt) < firstDutiesDelay || !e.register.Read() || !e.gossip.Hub() || e.dispatcher.Ready(now) == dispatch.Stopping || e.readFailing(now) {
 		return 0, false
 	}
 	var others []candidate
@@ -59,10 +60,10 @@
 		others = append(others, newCandidate(p.Name, p.Cores, p.Said.CantRead || p.Said.Stopping))
 	}
 	rank = newCandidate(e.settings.Instance, cores(e.settings), false).rank(others)
-	return rank, rank < candidates
+	return rank, rank < maxDutyCandidates
 }
 
-// Pools returns what this node sees of the pools whose engines can be ordered.
+// Pools returns the engines that this node knows of in each pool whose engines can be ordered.
 func (n dutyNode) Pools(time.Time) []duty.Pool {
 	table := n.e.dispatcher.Table()
 	if table == nil {
@@ -76,7 +77,7 @@
 		halls := n.e.placement.Present(p.Name)
 		for hall := range p.Scaling.Prices {
 			if _, ok := halls[hall]; !ok {
-				halls[hall] = scaling.Seen{} // One without engines can get some.
+				halls[hall] = scaling.Seen{} // Engines may be ordered in a hall that has none yet.
 			}
 		}
 		out = append(out, duty.Pool{Name: p.Name, Limits: *p.Scaling, Halls: halls})
@@ -84,11 +85,12 @@
 	return out
 }
 
-// Work returns, by pool, the reading that this node gave to engines so far, in milliseconds of an engine.
+// Work returns, by pool, the prefill work that this node has sent to engines so far, in
+// milliseconds of an engine.
 func (n dutyNode) Work() map[string]scaling.Demand { return n.e.placement.Work() }
 
-// sayHolder returns what is told of who holds the duties.
-func (e *Edge) sayHolder(now time.Time) gossip.Holder {
+// announcedHolder returns the duty holder that this node announces to its peers.
+func (e *Edge) announcedHolder(now time.Time) gossip.Holder {
 	if e.duties == nil {
 		return gossip.Holder{}
 	}
@@ -96,20 +98,21 @@
 	if h.Free {
 		return gossip.Holder{Token: h.Token, Address: h.Address, AgeMs: -1}
 	}
-	if age := now.Sub(h.SaidAt); h.Token > 0 && age <= holderTold {
+	if age := now.Sub(h.SaidAt); h.Token > 0 && age <= holderMaxAge {
 		return gossip.Holder{Token: h.Token, Address: h.Address, AgeMs: age.Milliseconds()}
 	}
 	return gossip.Holder{}
 }
 
-// hearHolder takes what a peer tells of who holds the duties.
-func (e *Edge) hearHolder(now time.Time, h gossip.Holder) {
+// receiveHolder records the duty holder that a peer announced.
+func (e *Edge) receiveHolder(now time.Time, h gossip.Holder) {
 	if e.duties != nil && h.Token > 0 {
 		e.duties.Hear(duty.Holder{Token: h.Token, Address: h.Address, SaidAt: now.Add(-ms(int(max(h.AgeMs, 0)))), Free: h.AgeMs < 0})
 	}
 }
 
-// dutyRows returns who holds the duties, and what this node did of them, as rows for operators.
+// dutyRows returns, as rows for operators, the duty holder and the duties that this node
+// performed.
 func (e *Edge) dutyRows(now time.Time) []wire.Row {
 	if e.duties == nil {
 		return nil
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -1,6 +1,6 @@
-// Package edge runs a node on the users' platform: it starts all parts in one
-// visible order and stops them in the reverse order. The platform keeps the
-// configuration and lists the engines; nothing here outlives the process.
+// Package edge runs a node on the users' platform: it starts all components in a fixed order and
+// stops them in reverse. The platform stores the configuration and lists the engines; a node keeps
+// no state beyond its process.
 package edge
 
 import (
@@ -41,115 +41,116 @@
 )
 
 const (
-	// gcPercent makes the collector run often: live memory is a few megabytes, so
-	// that it costs little time, and memory is what the users pay most for.
+	// gcPercent makes the garbage collector run often. Live memory is a few megabytes, so this
+	// costs little processor time, and memory is what the users pay most for.
 	gcPercent = 50
 
-	// memoryShare of the memory allowed is where the collector works harder.
-	memoryShare = 0.7
+	// memoryLimitShare is the share of the allowed memory that is set as the soft limit of the
+	// garbage collector.
+	memoryLimitShare = 0.7
 
-	// clientIdle is how long a client's connection may rest. Clients use theirs
-	// again within four fifths of the configuration's limit, 15 s at the users'.
-	clientIdle = 2 * time.Minute
+	// clientIdleTimeout is how long a client connection may stay idle. Clients stop reusing theirs
+	// after four fifths of the configured limit, which is 15 s at the users'.
+	clientIdleTimeout = 2 * time.Minute
 
 	// leaveTimeout bounds the removal of this node's row from the register.
 	leaveTimeout = time.Second
 
-	// proofShare of the time within which a key must be out of use is how long a
-	// proof holds; the rest is for requests on their way to an engine.
+	// proofShare is how long a proof of the configuration is valid, as a share of the time within
+	// which a revoked key must be rejected; the rest is for requests on their way to an engine.
 	proofShare = 0.9
 
-	// configWait is how long a call waits for a newer configuration. Each answer
-	// proves the configuration in force; two calls may fail before the proof of
-	// the usual 4.5 s is too old.
-	configWait = 1500 * time.Millisecond
+	// configLongPoll is how long a call to the store waits for a newer configuration. Each answer
+	// proves the configuration in force, and with the usual proof age of 4.5 s two calls may fail
+	// before the proof expires.
+	configLongPoll = 1500 * time.Millisecond
 
-	// enginesWaitShare of the time within which new work at an engine that leaves must
-	// stop is how long a call waits for changes of engines. When the store drops its
-	// history, calls in flight may stay deaf until they end; the rest of the time is
-	// for the next call and for telling the peers.
-	enginesWaitShare = 0.4
+	// enginesLongPollShare is how long a call to the store waits for changes of engines, as a
+	// share of the time within which new work at a leaving engine must stop. When the store drops
+	// its history, calls in flight may report nothing until they end; the rest of the time is for
+	// the next call and for telling the peers.
+	enginesLongPollShare = 0.4
 
-	// stopMargin is how long before the platform kills the process it ends.
+	// stopMargin is how long before the platform kills the process the node exits.
 	stopMargin = 400 * time.Millisecond
 
-	// stopAtLeast is how long a stopping node goes on taking requests, since
-	// clients keep addresses for up to three times two seconds.
-	stopAtLeast = 6200 * time.Millisecond
+	// minStopTime is the least time for which a stopping node serves requests, since clients cache
+	// addresses for up to three times two seconds.
+	minStopTime = 6200 * time.Millisecond
 
-	// libraryBytes is how much of a library's own log line is kept.
-	libraryBytes = 48
+	// maxLibraryLogBytes is how much of a log line written by a library is kept.
+	maxLibraryLogBytes = 48
 
-	// stopPoll is how often a stopping node looks whether it is idle.
-	stopPoll = 50 * time.Millisecond
+	// stopPollInterval is how often a stopping node checks whether it is idle.
+	stopPollInterval = 50 * time.Millisecond
 )
 
-// Edge is one running node on the users' platform.
+// Edge is a running node on the users' platform.
 type Edge struct {
-	settings    *settings.Settings
-	lines       *logline.Writer
-	tele        *telemetry.Telemetry
-	log         *slog.Logger
-	proof       *freshness.Proof
-	placement   *placement.Placement
-	quarantine  *quarantine.Quarantine
-	limits      *limit.Limits
-	permits     *limit.Permits
-	evacuations *evacuation.Evacuations
-	duties      *duty.Duties // duties is nil where the platform asks for none.
-	dutyCalls   *platform.Duties
-	budget      *retry.Budget
-	gossip      *gossip.Gossip
-	dispatcher  *dispatch.Dispatcher
-	egress      *platform.Egress
-	store       *platform.Store
-	discovery   *discovery.Discovery
-	register    *register.Register
-	metrics     *metrics
-	traffic     *peer.Traffic
-	calls       *peer.Client
-	peers       *peer.Server
-	config      *feed.Table
-	engines     *feed.Table
-	follower    *feed.Follower
-	startedAt   time.Time
-	lostAt      atomic.Pointer[time.Time] // lostAt is when the store last could not be called.
-	silentAt    atomic.Pointer[time.Time] // silentAt is when this node last left reading to others for want of answers.
-	quietSince  atomic.Pointer[time.Time] // quietSince is when the store last answered, or this node began to read.
+	settings      *settings.Settings
+	logWriter     *logline.Writer
+	tele          *telemetry.Telemetry
+	log           *slog.Logger
+	proof         *freshness.Proof
+	placement     *placement.Placement
+	quarantine    *quarantine.Quarantine
+	limits        *limit.Limits
+	permits       *limit.Permits
+	evacuations   *evacuation.Evacuations
+	duties        *duty.Duties // duties is nil where the settings name none.
+	dutyClient    *platform.Duties
+	budget        *retry.Budget
+	gossip        *gossip.Gossip
+	dispatcher    *dispatch.Dispatcher
+	egress        *platform.Egress
+	store         *platform.Store
+	discovery     *discovery.Discovery
+	register      *register.Register
+	metrics       *metrics
+	traffic       *peer.Traffic
+	peerClient    *peer.Client
+	peerServer    *peer.Server
+	configTable   *feed.Table
+	engineTable   *feed.Table
+	follower      *feed.Follower
+	startedAt     time.Time
+	storeFailedAt atomic.Pointer[time.Time] // storeFailedAt is when a call to the store last failed.
+	storeSilentAt atomic.Pointer[time.Time] // storeSilentAt is when this node last left reading to others because the store did not answer.
+	noAnswerSince atomic.Pointer[time.Time] // noAnswerSince is when the store last answered, or when this node began to read.
 
-	configsRefused atomic.Int64 // configsRefused counts configurations that could not be understood.
+	configsRefused atomic.Int64 // configsRefused counts configurations that were rejected as invalid.
 
-	absences  atomic.Int64       // absences counts how often this process was away.
-	back      chan time.Duration // back tells of each absence once it is over, and how long it was.
-	stopClock func()             // stopClock ends the hook of the clock.
+	absences        atomic.Int64       // absences counts how often this process was suspended.
+	absenceEnded    chan time.Duration // absenceEnded receives the length of each absence when it is over.
+	removeClockHook func()             // removeClockHook removes the hook from the clock.
 
-	wakeConfig, wakeEngines chan struct{} // These tell the readers that this node should read.
+	wakeConfig, wakeEngines chan struct{} // These wake the readers when this node should read.
 
 	servers []*http.Server
 	cancel  context.CancelFunc
 	wg      sync.WaitGroup
 }
 
-// listener is an address and what is served there.
-type listener struct {
+// endpoint is an address and the handler served there.
+type endpoint struct {
 	address string
 	handler http.Handler
 }
 
-// Start starts a node; logs go to out. Close stops it.
+// Start starts a node that writes its log to out; Close stops it.
 func Start(ctx context.Context, s *settings.Settings, out io.Writer) (*Edge, error) {
 	debug.SetGCPercent(gcPercent)
 	setMemoryLimit(s)
-	e := &Edge{settings: s, lines: logline.New(out), startedAt: clock.Now(), wakeConfig: make(chan struct{}, 1), wakeEngines: make(chan struct{}, 1), back: make(chan time.Duration, 1), stopClock: func() {}}
-	tele, err := telemetry.New(ctx, s, e.lines)
+	e := &Edge{settings: s, logWriter: logline.New(out), startedAt: clock.Now(), wakeConfig: make(chan struct{}, 1), wakeEngines: make(chan struct{}, 1), absenceEnded: make(chan time.Duration, 1), removeClockHook: func() {}}
+	tele, err := telemetry.New(ctx, s, e.logWriter)
 	if err != nil {
-		return nil, errors.Join(fmt.Errorf("start telemetry: %w", err), e.lines.Close())
+		return nil, errors.Join(fmt.Errorf("start telemetry: %w", err), e.logWriter.Close())
 	}
 	e.tele, e.log = tele, tele.Log
 	log.SetFlags(0)
 	log.SetOutput(libraryLog{e.log})
 	if err := e.build(clock.Now()); err != nil {
-		return nil, errors.Join(err, tele.Close(), e.lines.Close())
+		return nil, errors.Join(err, tele.Close(), e.logWriter.Close())
 	}
 	ctx, e.cancel = context.WithCancel(ctx)
 	if err := e.run(ctx); err != nil {
@@ -159,7 +160,7 @@
 	return e, nil
 }
 
-// build makes all parts; nothing runs yet.
+// build creates all components without starting them, except that it opens the listener for peers.
 func (e *Edge) build(now time.Time) error {
 	s := e.settings
 	self := gossip.Self{
@@ -167,10 +168,10 @@
 		Cores: cores(s),
 	}
 	var err error
-	e.proof = freshness.New(proofLife(s))
+	e.proof = freshness.New(proofMaxAge(s))
 	e.limits = limit.New(e.log)
-	e.placement = placement.New(s.Hall, placement.WithLimits(e.limits), placement.WithUnheard(e.unheard), placement.WithSenders(s.Instance, e.senders), placement.WithRegions(s.HallRegions))
-	e.quarantine = quarantine.New(e.triesHeld, e.log)
+	e.placement = placement.New(s.Hall, placement.WithLimits(e.limits), placement.WithUnheard(e.unheardPeers), placement.WithSenders(s.Instance, e.senders), placement.WithRegions(s.HallRegions))
+	e.quarantine = quarantine.New(e.retriesHeld, e.log)
 	e.evacuations = evacuation.New(e.placement, e.log)
 	if e.gossip, err = gossip.New(self, e.log); err != nil {
 		return fmt.Errorf("start gossip: %w", err)
@@ -180,23 +181,23 @@
 		return fmt.Errorf("listen for peers: %w", err)
 	}
 	if e.metrics, err = newMetrics(e); err != nil {
-		return fmt.Errorf("make metrics: %w", err)
+		return fmt.Errorf("create metrics: %w", err)
 	}
-	e.budget = retry.New(now, retryLimits(s), e.nodes)
+	e.budget = retry.New(now, retryLimits(s), e.nodeCount)
 	e.egress = platform.NewEgress()
 	e.traffic = &peer.Traffic{}
-	e.calls = peer.NewClient(e.traffic, peer.WithSilence(feed.PullSilence))
-	e.discovery = discovery.New(platform.Engine, engines{e.placement, e.egress, e.limits}, ms(s.EngineDrainMs), e.log)
-	e.permits = limit.NewPermits(e.limits, e.calls, e.issuer, e.gossip.Reach, e.log)
+	e.peerClient = peer.NewClient(e.traffic, peer.WithSilence(feed.PullSilence))
+	e.discovery = discovery.New(platform.Engine, engineSink{e.placement, e.egress, e.limits}, ms(s.EngineDrainMs), e.log)
+	e.permits = limit.NewPermits(e.limits, e.peerClient, e.permitIssuer, e.gossip.Reach, e.log)
 	e.dispatcher = dispatch.New(e.proof, e.placement, e.budget, e.egress, e.metrics, e.log, dispatch.WithProber(e.egress), dispatch.WithQuarantine(e.quarantine), dispatch.WithLeavers(e.discovery), dispatch.WithPermits(e.permits))
 	e.store = platform.NewStore(s.PlatformAddresses, platform.StoreTimeout)
 	e.register = register.New(now, e.store, self, slices.Collect(maps.Keys(s.HallRegions)), s.FirstStart, e.gossip, e.log)
-	e.config = feed.NewTable(platform.TableConfig, e.takeConfig)
-	e.engines = feed.NewTable(platform.TableEngines, e.discovery.Take)
-	e.follower = feed.NewFollower(s.PeerAddress, e.calls, e.log, e.config, e.engines)
-	e.peers = peer.NewServer(listener, e.traffic, e.log)
-	e.peers.Handle(feed.MethodTable, peer.Typed(e.follower.Answer))
-	e.peers.Handle(limit.MethodPermit, peer.Typed(e.permits.Answer))
+	e.configTable = feed.NewTable(platform.TableConfig, e.applyConfig)
+	e.engineTable = feed.NewTable(platform.TableEngines, e.discovery.Take)
+	e.follower = feed.NewFollower(s.PeerAddress, e.peerClient, e.log, e.configTable, e.engineTable)
+	e.peerServer = peer.NewServer(listener, e.traffic, e.log)
+	e.peerServer.Handle(feed.MethodTable, peer.Typed(e.follower.Answer))
+	e.peerServer.Handle(limit.MethodPermit, peer.Typed(e.permits.Answer))
 	e.duties = e.newDuties(now)
 	return nil
 }
@@ -207,7 +208,7 @@
 	control := http.NewServeMux()
 	control.Handle("GET /metrics", e.tele.Metrics)
 	control.HandleFunc("POST /admin/v1/statements", e.statements)
-	servers := []listener{
+	servers := []endpoint{
 		{s.CallerAddress, platform.NewIngress(e.dispatcher, platform.Limits{Read: ms(s.ReadTimeoutMs), Write: ms(s.WriteTimeoutMs)})},
 		{s.DirectoryAddress, platform.NewDirectory(e, e.log)},
 		{s.ReadyAddress, platform.NewReady(e)},
@@ -215,35 +216,35 @@
 	}
 	if s.ChatAddress != "" {
 		completions := front.NewCompletions(e.dispatcher, front.Limits{MaxBody: int64(s.MaxBodyBytes), WriteTimeout: ms(s.WriteTimeoutMs), ReadTimeout: ms(s.ReadTimeoutMs)}, e.log)
-		servers = append(servers, listener{s.ChatAddress, completions})
+		servers = append(servers, endpoint{s.ChatAddress, completions})
 	}
 	for _, each := range servers {
 		if err := e.serve(each.address, each.handler); err != nil {
 			return err
 		}
 	}
-	config := &feed.Reader{Table: e.config, Source: e.store, Wait: configWait, Wanted: e.reads, Proven: e.proven, Lost: e.lost, Wake: e.wakeConfig, Log: e.log}
-	engines := &feed.Reader{Table: e.engines, Source: e.store, Wait: share(enginesWaitShare, s.EngineDrainMs), Wanted: e.reads, Proven: e.answered, Lost: e.lost, Wake: e.wakeEngines, Log: e.log}
-	e.stopClock = clock.OnAway(e.returned)
-	e.start(func() { e.makeUp(ctx) })
-	e.start(e.peers.Serve)
-	e.start(func() { e.gossip.Run(ctx, e) })
-	e.start(func() { config.Run(ctx) })
-	e.start(func() {
+	config := &feed.Reader{Table: e.configTable, Source: e.store, Wait: configLongPoll, Wanted: e.shouldRead, Proven: e.configProven, Lost: e.storeFailed, Wake: e.wakeConfig, Log: e.log}
+	engines := &feed.Reader{Table: e.engineTable, Source: e.store, Wait: scaleMs(enginesLongPollShare, s.EngineDrainMs), Wanted: e.shouldRead, Proven: e.storeAnswered, Lost: e.storeFailed, Wake: e.wakeEngines, Log: e.log}
+	e.removeClockHook = clock.OnAway(e.afterAbsence)
+	e.startGoroutine(func() { e.handleAbsences(ctx) })
+	e.startGoroutine(e.peerServer.Serve)
+	e.startGoroutine(func() { e.gossip.Run(ctx, e) })
+	e.startGoroutine(func() { config.Run(ctx) })
+	e.startGoroutine(func() {
 		e.awaitAnswer(ctx)
 		e.awaitRegister(ctx)
 		engines.Run(ctx)
 	})
-	e.start(func() {
+	e.startGoroutine(func() {
 		e.awaitAnswer(ctx)
 		e.register.Run(ctx)
 	})
-	e.start(func() {
+	e.startGoroutine(func() {
 		e.awaitAnswer(ctx)
 		quarantine.NewKeeper(e.quarantine, e.store, s.FirstStart, e.log).Run(ctx)
 	})
 	if e.duties != nil {
-		e.start(func() {
+		e.startGoroutine(func() {
 			e.awaitAnswer(ctx)
 			e.duties.Run(ctx)
 		})
@@ -259,11 +260,11 @@
 	}
 	s := e.settings
 	server := &http.Server{
-		Handler: handler, MaxHeaderBytes: s.MaxHeaderBytes, ReadHeaderTimeout: ms(s.ReadTimeoutMs), IdleTimeout: clientIdle,
+		Handler: handler, MaxHeaderBytes: s.MaxHeaderBytes, ReadHeaderTimeout: ms(s.ReadTimeoutMs), IdleTimeout: clientIdleTimeout,
 		ErrorLog: slog.NewLogLogger(e.log.Handler(), slog.LevelDebug),
 	}
 	e.servers = append(e.servers, server)
-	e.start(func() {
+	e.startGoroutine(func() {
 		if err := server.Serve(l); err != nil && !errors.Is(err, http.ErrServerClosed) {
 			e.log.Error("server failed", "address", address, "error", err.Error())
 		}
@@ -271,8 +272,8 @@
 	return nil
 }
 
-// start runs a function on its own goroutine, for which Close waits.
-func (e *Edge) start(f func()) {
+// startGoroutine runs a function in a goroutine that Close waits for.
+func (e *Edge) startGoroutine(f func()) {
 	e.wg.Add(1)
 	go func() {
 		defer e.wg.Done()
@@ -280,8 +281,8 @@
 	}()
 }
 
-// Close stops the node as planned: entry points stop naming it at once, it goes
-// on serving callers that still come, and ends when none do any more.
+// Close shuts the node down gracefully: its address is no longer given to callers, it serves those
+// that still come, and exits when it is idle or its time is up.
 func (e *Edge) Close() error {
 	begin := clock.Now()
 	end := begin.Add(ms(e.settings.StopGraceMs) - stopMargin)
@@ -292,13 +293,13 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	if err := e.register.Leave(ctx); err != nil {
-		e.log.Warn("node stays in the register", "error", err.Error())
+		e.log.Warn("could not remove the node from the register", "error", err.Error())
 	}
 	cancel()
-	tick := time.NewTicker(stopPoll)
+	tick := time.NewTicker(stopPollInterval)
 	defer tick.Stop()
 	for now := range tick.C {
-		idle := e.dispatcher.Active() == 0 && now.Sub(begin) >= stopAtLeast
+		idle := e.dispatcher.Active() == 0 && now.Sub(begin) >= minStopTime
 		if idle || now.After(end) {
 			break
 		}
@@ -307,40 +308,40 @@
 	return e.stop()
 }
 
-// stop ends all parts and waits for them.
+// stop stops all components and waits for them.
 func (e *Edge) stop() error {
 	var errs []error
 	for _, s := range e.servers {
 		errs = append(errs, s.Close())
 	}
-	e.stopClock()
+	e.removeClockHook()
 	e.cancel()
-	errs = append(errs, e.follower.Close(), e.peers.Close())
-	e.calls.Close()
+	errs = append(errs, e.follower.Close(), e.peerServer.Close())
+	e.peerClient.Close()
 	e.wg.Wait()
 	e.egress.Close()
 	e.store.Close()
-	if e.dutyCalls != nil {
-		e.dutyCalls.Close()
+	if e.dutyClient != nil {
+		e.dutyClient.Close()
 	}
-	errs = append(errs, e.tele.Close(), e.lines.Close())
+	errs = append(errs, e.tele.Close(), e.logWriter.Close())
 	if err := errors.Join(errs...); err != nil {
 		return fmt.Errorf("stop node: %w", err)
 	}
 	return nil
 }
 
-// libraryLog takes what libraries log by themselves.
+// libraryLog passes what libraries write to the standard logger on to the node's log.
 type libraryLog struct{ log *slog.Logger }
 
-// Write logs the beginning of a line: the rest may hold bytes of an answer.
+// Write logs the beginning of a line, since the rest may hold bytes of a response.
 func (l libraryLog) Write(p []byte) (int, error) {
-	l.log.Debug("library", "text", string(p[:min(len(p), libraryBytes)]))
+	l.log.Debug("library", "text", string(p[:min(len(p), maxLibraryLogBytes)]))
 	return len(p), nil
 }
 
-// share returns a share of a time in milliseconds.
-func share(part float64, n int) time.Duration { return time.Duration(part * float64(ms(n))) }
+// scaleMs returns a fraction of a time given in milliseconds.
+func scaleMs(part float64, n int) time.Duration { return time.Duration(part * float64(ms(n))) }
 
-// ms turns milliseconds of the settings into a duration.
+// ms converts milliseconds, as used in the settings, to a duration.
 func ms(n int) time.Duration { return time.Duration(n) * time.Millisecond }
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -21,15 +21,15 @@
 	"github.com/croftturn/croftturn/platform"
 )
 
-// operatorsToken is the token of the operators at all nodes.
+// operatorsToken is the operators' token at all nodes.
 const operatorsToken = "operators"
 
-// configRow is a configuration with one team, as the operator writes it.
+// configRow is a configuration with one team, in the operators' format.
 const configRow = `{"version":3,"routes":[{"name":"r","host":"h","path_prefix":"/a/","kind":"safe","timeout_ms":1000,"target_latency_ms":100,` +
 	`"priority":1,"service":"p","max_attempts":1}],"services":[{"name":"p","max_connections":9}],"limits":{"max_body_bytes":1000},` +
 	`"tenants":[{"name":"t","api_keys":["k"]}]}`
 
-// newStore starts a store that answers reads with one configuration and takes all writes.
+// newStore starts a store that returns one configuration and accepts all writes.
 func newStore(t *testing.T) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -49,7 +49,7 @@
 	return server.Listener.Addr().String()
 }
 
-// freeAddress returns an address on which nothing listens.
+// freeAddress returns an address that is not in use.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	address, err := testport.Address()
@@ -59,7 +59,7 @@
 	return address
 }
 
-// newSettings returns settings with free addresses.
+// newSettings returns settings with unused addresses.
 func newSettings(t *testing.T, name, store string) *settings.Settings {
 	t.Helper()
 	address := func() string { return freeAddress(t) }
@@ -78,25 +78,25 @@
 	return s
 }
 
-// lines keeps what a node logs.
-type lines struct {
+// logBuffer collects the log of a node.
+type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(p)
 }
 
-func (l *lines) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
 }
 
-// get returns the status and body at an address.
+// get returns the status and body of a URL.
 func get(t *testing.T, url string) (int, string) {
 	t.Helper()
 	resp, err := http.Get(url)
@@ -111,8 +111,7 @@
 	return resp.StatusCode, string(body)
 }
 
-// waitFor waits until a condition holds, and fails the test with a message where
-// it does not within five seconds.
+// waitFor waits until a condition holds, and fails the test if it does not within five seconds.
 func waitFor(t *testing.T, condition func() bool, format string, args ...any) {
 	t.Helper()
 	deadline := time.Now().Add(5 * time.Second)
@@ -124,11 +123,11 @@
 	}
 }
 
-// TestNodeStartsServesAndStops holds what a node answers from its start to its
-// planned stop, and that its log is JSON lines with one at the start, for the
-// configuration, for a refusal, for a reload and at the stop.
+// TestNodeStartsServesAndStops checks the answers of a node from its start to its graceful stop,
+// and that its log consists of JSON lines with one each for the start, the configuration, a
+// refused request, a reload and the stop.
 func TestNodeStartsServesAndStops(t *testing.T) {
-	out := &lines{}
+	out := &logBuffer{}
 	s := newSettings(t, "n1", newStore(t))
 	e, err := Start(context.Background(), s, out)
 	if err != nil {
@@ -141,7 +140,7 @@
 	e.Reload(func() (*settings.Settings, error) { return &next, nil })
 	e.Reload(func() (*settings.Settings, error) { return nil, fmt.Errorf("no such file") })
 	if e.proof.Fresh(time.Now().Add(time.Second)) {
-		t.Error("the new age of a proof is not in force")
+		t.Error("the reloaded proof age is not in force")
 	}
 	closed := make(chan error)
 	go func() { closed <- e.Close() }()
@@ -157,7 +156,7 @@
 	checkLog(t, out.String())
 }
 
-// checkAnswers checks what a node that is ready answers at each of its addresses.
+// checkAnswers checks what a ready node answers at each of its addresses.
 func checkAnswers(t *testing.T, s *settings.Settings) {
 	t.Helper()
 	if status, _ := get(t, "http://"+s.ReadyAddress+"/-/ready"); status != 200 {
@@ -174,7 +173,7 @@
 	}
 }
 
-// checkLog checks that a log is JSON lines with one of each kind.
+// checkLog checks that the log consists of JSON lines and has one of each kind.
 func checkLog(t *testing.T, log string) {
 	t.Helper()
 	for _, msg := range []string{"node started", "configuration", "request refused", "settings reloaded", "settings not reloaded", "node stops", "node stopped"} {
@@ -189,14 +188,14 @@
 	}
 }
 
-// heardFrom returns a node that has just heard some peers.
-func heardFrom(t *testing.T, peers map[string]gossip.Said) *Edge {
+// startWithPeers starts a node that has just heard from some peers.
+func startWithPeers(t *testing.T, peers map[string]gossip.Said) *Edge {
 	t.Helper()
-	return heardFromAt(t, newStore(t), peers)
+	return startWithPeersAt(t, newStore(t), peers)
 }
 
-// heardFromAt returns such a node with a store at an address.
-func heardFromAt(t *testing.T, store string, peers map[string]gossip.Said) *Edge {
+// startWithPeersAt does the same with the store at an address.
+func startWithPeersAt(t *testing.T, store string, peers map[string]gossip.Said) *Edge {
 	t.Helper()
 	e, err := Start(context.Background(), newSettings(t, "self", store), io.Discard)
 	if err != nil {
@@ -213,10 +212,10 @@
 	return e
 }
 
-// TestProofOfAPeer holds that a peer's proof counts from when it had this node's
-// message, and only for a configuration that this node has.
+// TestProofOfAPeer checks that the age of a peer's proof counts from when the peer had this node's
+// message, and that it counts only for a configuration that this node has.
 func TestProofOfAPeer(t *testing.T) {
-	e := heardFrom(t, nil)
+	e := startWithPeers(t, nil)
 	waitFor(t, func() bool { return e.dispatcher.Version() == 3 }, "no configuration")
 	future := time.Now().Add(time.Hour)
 	hear := func(version int, ageMs int64, received time.Time) time.Duration {
@@ -225,7 +224,7 @@
 		return age
 	}
 	if age := hear(3, 200, time.Time{}); age < 50*time.Minute {
-		t.Errorf("a peer that has no message of ours renews the proof: %v", age)
+		t.Errorf("a peer that has received no message of this node renews the proof: %v", age)
 	}
 	if age := hear(4, 200, future.Add(-time.Second)); age < 50*time.Minute {
 		t.Errorf("a proof of a newer configuration counts: %v", age)
@@ -234,17 +233,17 @@
 		t.Errorf("the proof is %v old, want 1.2 s", age)
 	}
 	if age := hear(3, 5000, future); age != 1200*time.Millisecond {
-		t.Errorf("an older proof takes the newer one's place: %v", age)
+		t.Errorf("an older proof replaces a newer one: %v", age)
 	}
 }
 
-// TestEntries holds which nodes callers are told to use.
+// TestEntries checks which addresses callers are given.
 func TestEntries(t *testing.T) {
 	ready, stale, stopping := gossip.Said{Ready: true}, gossip.Said{}, gossip.Said{Stopping: true}
-	e := heardFrom(t, map[string]gossip.Said{"1-a": ready, "2-b": ready, "2-c": ready, "2-d": stale, "3-e": stopping})
+	e := startWithPeers(t, map[string]gossip.Said{"1-a": ready, "2-b": ready, "2-c": ready, "2-d": stale, "3-e": stopping})
 	now := time.Now()
-	e.proven(now)
-	e.takeConfig(now, []feed.Row{{Key: "config", Value: []byte(configRow), Version: 9}})
+	e.configProven(now)
+	e.applyConfig(now, []feed.Row{{Key: "config", Value: []byte(configRow), Version: 9}})
 	if got := e.Entries(now, "h2"); len(got) != 2 {
 		t.Errorf("in h2: %v, want its two ready nodes", got)
 	}
@@ -253,48 +252,48 @@
 	}
 	late := now.Add(1100 * time.Millisecond)
 	e.proof.SetMaxAge(-time.Hour)
-	e = heardFrom(t, map[string]gossip.Said{"2-d": stale, "3-e": stopping})
+	e = startWithPeers(t, map[string]gossip.Said{"2-d": stale, "3-e": stopping})
 	e.proof.SetMaxAge(-time.Hour)
 	if got := e.Entries(late, "h2"); len(got) != 2 {
-		t.Errorf("where none is ready: %v, want those alive that do not stop", got)
+		t.Errorf("where none is ready: %v, want those that are alive and not stopping", got)
 	}
 }
 
-// TestAnInvalidConfigurationChangesNothing holds that one that can't be read or is invalid leaves the one in force
-// and its proof as they are, is counted, and delays the next in no way.
+// TestAnInvalidConfigurationChangesNothing checks that a malformed or invalid configuration is
+// counted, leaves the one in force and its proof unchanged, and does not delay the next one.
 func TestAnInvalidConfigurationChangesNothing(t *testing.T) {
-	e := heardFrom(t, nil)
+	e := startWithPeers(t, nil)
 	waitFor(t, func() bool { return e.Ready(time.Now()) }, "not ready")
 	row := func(value string, version int64) []feed.Row {
 		return []feed.Row{{Table: platform.TableConfig, Key: "config", Value: []byte(value), Version: version}}
 	}
 	for i, bad := range []string{"\xff\x00", "", `{"version":4}`, strings.Replace(configRow, `"kind":"safe"`, `"kind":7`, 1), configRow[:len(configRow)-1]} {
-		e.config.Change(time.Now(), row(bad, int64(10+i)))
+		e.configTable.Change(time.Now(), row(bad, int64(10+i)))
 		if e.dispatcher.Version() != 3 || !e.Ready(time.Now()) || e.configsRefused.Load() != int64(i+1) {
 			t.Errorf("after %q: version %d, ready %v, %d refused", bad, e.dispatcher.Version(), e.Ready(time.Now()), e.configsRefused.Load())
 		}
 	}
-	if last, _ := e.config.Last(); last != 14 {
-		t.Errorf("the table is at version %d, want 14: peers are not to be asked again for what was refused", last)
+	if last, _ := e.configTable.Last(); last != 14 {
+		t.Errorf("the table is at version %d, want 14: a rejected row must not be requested from peers again", last)
 	}
-	e.config.Change(time.Now(), row(strings.Replace(configRow, `"version":3`, `"version":5`, 1), 20))
+	e.configTable.Change(time.Now(), row(strings.Replace(configRow, `"version":3`, `"version":5`, 1), 20))
 	if e.dispatcher.Version() != 5 {
-		t.Errorf("version %d after a good one, want 5", e.dispatcher.Version())
+		t.Errorf("version %d after a valid configuration, want 5", e.dispatcher.Version())
 	}
 }
 
-// TestNodesThatAreNotHeardShareTheRetries holds that a node which hears nobody does
-// not take the others' part of the retries for its own.
+// TestNodesThatAreNotHeardShareTheRetries checks that a node that hears from no other does not use
+// up the others' share of the retries.
 func TestNodesThatAreNotHeardShareTheRetries(t *testing.T) {
-	e := heardFrom(t, map[string]gossip.Said{"1-a": {}, "2-b": {}})
+	e := startWithPeers(t, map[string]gossip.Said{"1-a": {}, "2-b": {}})
 	waitFor(t, func() bool { return e.register.Read() }, "the register was not read")
-	if got := e.nodes(); got != 3 || len(e.gossip.Peers(time.Now().Add(time.Minute))) != 0 {
+	if got := e.nodeCount(); got != 3 || len(e.gossip.Peers(time.Now().Add(time.Minute))) != 0 {
 		t.Errorf("%d nodes share, want 3", got)
 	}
 }
 
-// TestNeedsRestart holds that a change of what is read at the start only is told,
-// and that one of what a reload puts in force is not.
+// TestNeedsRestart checks that a restart is needed after changes of settings that are read at the
+// start only, and not after those that a reload applies.
 func TestNeedsRestart(t *testing.T) {
 	running := newSettings(t, "n", "127.0.0.1:1")
 	for name, test := range map[string]struct {
@@ -317,23 +316,24 @@
 	}
 }
 
-// TestANodeThatWasAwayProvesItsConfigurationFirst holds that a node does not take callers after an absence until it has read
-// anew from the store, that it does so at once, and that what a peer proved before the absence does not count.
+// TestANodeThatWasAwayProvesItsConfigurationFirst checks that a node that was suspended serves no
+// callers until it has read the store again, that it does so at once, and that a peer's proof from
+// before the suspension does not count.
 func TestANodeThatWasAwayProvesItsConfigurationFirst(t *testing.T) {
-	e := heardFrom(t, nil)
+	e := startWithPeers(t, nil)
 	waitFor(t, func() bool { return e.Ready(time.Now()) }, "not ready")
 	back := time.Now()
-	e.returned(back, leastAbsence/2)
+	e.afterAbsence(back, minAbsence/2)
 	if !e.Ready(back) {
-		t.Error("not ready after a pause that is no absence")
+		t.Error("not ready after a pause too short to be an absence")
 	}
-	e.returned(back.Add(time.Second), 3*time.Second)
+	e.afterAbsence(back.Add(time.Second), 3*time.Second)
 	e.Heard(back, gossip.Self{Name: "p"}, gossip.Said{ConfigVersion: 3, ProofAgeMs: 0, LostAgeMs: -1}, back.Add(900*time.Millisecond))
 	if e.Ready(back.Add(time.Second)) || e.absences.Load() != 1 {
 		t.Errorf("ready after an absence without a proof; %d absences", e.absences.Load())
 	}
 	waitFor(t, func() bool { return e.Ready(time.Now()) }, "not ready after an absence")
-	if took := time.Since(back); took < time.Second || took > configWait {
+	if took := time.Since(back); took < time.Second || took > configLongPoll {
 		t.Errorf("ready %v after, want soon after the end of the absence, a second later", took)
 	}
 }
--- a/internal/edge/engines.go
+++ b/internal/edge/engines.go
@@ -6,24 +6,24 @@
 	"github.com/croftturn/croftturn/platform"
 )
 
-// engines takes the engines that may get work.
-type engines struct {
+// engineSink applies changes of engines that discovery reports.
+type engineSink struct {
 	placement *placement.Placement
 	egress    *platform.Egress
 	limits    *limit.Limits
 }
 
-// Set takes an engine. Connections that rest are of the former incarnation of one that has started
-// again, and a request which may not be repeated would be lost on them.
-func (s engines) Set(e placement.Engine) {
+// Set adds or updates an engine. If the engine has restarted, idle connections belong to its
+// former incarnation, and a request that may not be repeated would be lost on them.
+func (s engineSink) Set(e placement.Engine) {
 	if s.placement.Set(e) {
 		s.egress.Forget(e.Address)
 		s.limits.Forget(e.ID)
 	}
 }
 
-// Drain has an engine get no new requests.
-func (s engines) Drain(id string) { s.placement.Drain(id) }
+// Drain stops new requests to an engine.
+func (s engineSink) Drain(id string) { s.placement.Drain(id) }
 
-// Remove drops an engine.
-func (s engines) Remove(id string) { s.placement.Remove(id) }
+// Remove removes an engine.
+func (s engineSink) Remove(id string) { s.placement.Remove(id) }
--- a/internal/edge/held.go
+++ b/internal/edge/held.go
@@ -16,25 +16,26 @@
 	"github.com/croftturn/croftturn/internal/wire"
 )
 
-// longestStatement bounds a statement of an operator, in bytes.
-const longestStatement = 4 << 10
+// maxStatementBytes is the longest request body accepted with an operator's statement.
+const maxStatementBytes = 4 << 10
 
-// statements serves the operators' statements: "duties" shows what one node does for all, "evacuations" lists the halls
-// that are evacuated, "held" lists requests that are held, and "release FINGERPRINT" frees one at all nodes. Who releases one
-// needs the operators' token; without one in the settings nobody may.
+// statements serves the operators' statements: "duties" shows the duties that one node performs
+// for all, "evacuations" lists the halls that are evacuated, "held" lists the requests that are
+// held, and "release FINGERPRINT" releases one at all nodes. Releasing requires the operators'
+// token; if the settings have none, it is forbidden.
 func (e *Edge) statements(w http.ResponseWriter, r *http.Request) {
 	var statement struct {
 		Text string `json:"text"`
 	}
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, longestStatement)).Decode(&statement); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxStatementBytes)).Decode(&statement); err != nil {
 		http.Error(w, "statement not understood: "+err.Error(), http.StatusBadRequest)
 		return
 	}
 	now := clock.Now()
 	words := strings.Fields(statement.Text)
-	rows, shows := map[string]func(time.Time) []wire.Row{"held": e.heldRows, "duties": e.dutyRows, "evacuations": e.evacuationRows}[strings.Join(words, " ")]
+	rows, isQuery := map[string]func(time.Time) []wire.Row{"held": e.heldRows, "duties": e.dutyRows, "evacuations": e.evacuationRows}[strings.Join(words, " ")]
 	switch {
-	case shows:
+	case isQuery:
 	case len(words) != 2 || words[0] != "release":
 		http.Error(w, `want "duties", "evacuations", "held" or "release FINGERPRINT"`, http.StatusBadRequest)
 		return
@@ -51,12 +52,12 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(admin.Result{Rows: rows(now)}); err != nil {
-		e.log.Debug("answer to an operator not delivered", "error", err.Error())
+		e.log.Debug("could not write the answer to an operator", "error", err.Error())
 	}
 }
 
-// evacuationRows returns the halls that are evacuated as rows for operators, with the requests that still run there as far as
-// this node knows.
+// evacuationRows returns the evacuated halls as rows for operators, with the number of requests
+// still running there as far as this node knows.
 func (e *Edge) evacuationRows(now time.Time) []wire.Row {
 	var rows []wire.Row
 	for _, each := range e.evacuations.List() {
@@ -69,7 +70,7 @@
 	return rows
 }
 
-// heldRows returns the requests that are held as rows for operators.
+// heldRows returns the held requests as rows for operators.
 func (e *Edge) heldRows(now time.Time) []wire.Row {
 	var rows []wire.Row
 	for _, h := range e.quarantine.List() {
--- a/internal/edge/leaving_test.go
+++ b/internal/edge/leaving_test.go
@@ -8,70 +8,73 @@
 )
 
 const (
-	// leavingSettles is how long after an engine first said that it leaves it may get more, of any node, and drains how long
-	// after that the load goes on.
-	leavingSettles = time.Second
-	drains         = 3 * time.Second
+	// leavingGrace is how long after an engine first announced that it leaves it may still get
+	// requests from any node; drainTime is how long the load continues after that.
+	leavingGrace = time.Second
+	drainTime    = 3 * time.Second
 )
 
-// TestAnEngineThatSaysItLeavesGetsNothingMore guards against requests to an engine whose answers say that it leaves while its entry says ready.
+// TestAnEngineThatSaysItLeavesGetsNothingMore guards against requests to an engine whose responses
+// announce that it leaves while its entry says it is ready.
 func TestAnEngineThatSaysItLeavesGetsNothingMore(t *testing.T) {
 	for _, test := range []struct {
-		name   string
-		status int64
-		also   func(w *saysWorld) // also is done meanwhile.
+		name      string
+		status    int64
+		meanwhile func(w *scriptedCluster) // meanwhile is called during the load.
 	}{
-		{"in a whole answer", 0, func(*saysWorld) {}},
-		{"in a failure", http.StatusInternalServerError, func(*saysWorld) {}},
-		{"in a refusal", http.StatusServiceUnavailable, func(*saysWorld) {}},
-		{"while the store is away", 0, func(w *saysWorld) { w.away.Store(true) }},
-		{"while its entry is renewed as ready", 0, func(w *saysWorld) { w.version.Add(1) }},
+		{"in a whole answer", 0, func(*scriptedCluster) {}},
+		{"in a failure", http.StatusInternalServerError, func(*scriptedCluster) {}},
+		{"in a refusal", http.StatusServiceUnavailable, func(*scriptedCluster) {}},
+		{"while the store is away", 0, func(w *scriptedCluster) { w.storeDown.Store(true) }},
+		{"while its entry is renewed as ready", 0, func(w *scriptedCluster) { w.version.Add(1) }},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			w := newSaysWorld(t, 3, 3)
+			w := newScriptedCluster(t, 3, 3)
 			leaver := w.engines[0]
 			leaver.status.Store(test.status)
 			leaver.leaving.Store(true)
 			begin := time.Now()
-			time.AfterFunc(leavingSettles/2, func() { test.also(w) })
-			w.load(10*time.Millisecond, leavingSettles+drains, func(string, time.Time, got) {})
-			if leaver.between(begin, begin.Add(leavingSettles)) == 0 {
-				t.Error("nothing was sent there before it said so")
+			time.AfterFunc(leavingGrace/2, func() { test.meanwhile(w) })
+			w.load(10*time.Millisecond, leavingGrace+drainTime, func(string, time.Time, result) {})
+			if leaver.countBetween(begin, begin.Add(leavingGrace)) == 0 {
+				t.Error("no request was sent to the engine before it announced that it leaves")
 			}
-			if n := leaver.between(begin.Add(leavingSettles), time.Now()); n > 0 {
-				t.Errorf("%d requests came later than %v after it first said that it leaves", n, leavingSettles)
+			if n := leaver.countBetween(begin.Add(leavingGrace), time.Now()); n > 0 {
+				t.Errorf("%d requests came later than %v after the engine first announced that it leaves", n, leavingGrace)
 			}
 		})
 	}
 }
 
-// TestAnEngineThatIsBackAfterItLeftIsUsedAgain guards against what an engine's former life said being taken for its present one.
+// TestAnEngineThatIsBackAfterItLeftIsUsedAgain guards against applying the leave announcement of a
+// former incarnation to a restarted engine.
 func TestAnEngineThatIsBackAfterItLeftIsUsedAgain(t *testing.T) {
-	w := newSaysWorld(t, 2, 3)
+	w := newScriptedCluster(t, 2, 3)
 	leaver := w.engines[0]
 	leaver.leaving.Store(true)
 	begin := time.Now()
-	time.AfterFunc(leavingSettles, func() {
+	time.AfterFunc(leavingGrace, func() {
 		leaver.leaving.Store(false)
-		leaver.born.Store(2)
+		leaver.startedAt.Store(2)
 		w.version.Add(1)
 	})
-	w.load(10*time.Millisecond, 3*leavingSettles, func(string, time.Time, got) {})
-	if n := leaver.between(begin.Add(2*leavingSettles), time.Now()); n < 20 {
-		t.Errorf("%d requests in the last second, though it has started again", n)
+	w.load(10*time.Millisecond, 3*leavingGrace, func(string, time.Time, result) {})
+	if n := leaver.countBetween(begin.Add(2*leavingGrace), time.Now()); n < 20 {
+		t.Errorf("%d requests in the last second, though the engine has restarted", n)
 	}
 }
 
-// TestWhereAllEnginesLeaveCallersAreRefusedAtOnce guards against requests that wait for engines which are not coming back.
+// TestWhereAllEnginesLeaveCallersAreRefusedAtOnce guards against requests that wait for engines
+// that do not return.
 func TestWhereAllEnginesLeaveCallersAreRefusedAtOnce(t *testing.T) {
-	w := newSaysWorld(t, 2, 2)
+	w := newScriptedCluster(t, 2, 2)
 	for _, e := range w.engines {
 		e.leaving.Store(true)
 	}
-	from := time.Now().Add(leavingSettles)
+	from := time.Now().Add(leavingGrace)
 	var refused, others atomic.Int64
-	w.load(10*time.Millisecond, 2*leavingSettles, func(_ string, sent time.Time, g got) {
+	w.load(10*time.Millisecond, 2*leavingGrace, func(_ string, sent time.Time, g result) {
 		switch {
 		case sent.Before(from):
 		case g.status == http.StatusServiceUnavailable && g.took < 100*time.Millisecond:
@@ -81,6 +84,6 @@
 		}
 	})
 	if refused.Load() < 50 || others.Load() > 0 {
-		t.Errorf("%d were refused at once, %d not", refused.Load(), others.Load())
+		t.Errorf("%d requests were refused at once, %d were not", refused.Load(), others.Load())
 	}
 }
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -14,17 +14,17 @@
 	"github.com/croftturn/croftturn/internal/usage"
 )
 
-// metrics counts what happens to requests.
+// metrics holds the instruments that count requests.
 type metrics struct {
 	ended   metric.Int64Counter
 	retried metric.Int64Counter
 	crashed metric.Int64Counter
-	usage   *usage.Counter // usage is nil where nobody asks for it.
+	usage   *usage.Counter // usage is nil where the platform does not ask for usage reports.
 	first   metric.Float64Histogram
 	total   metric.Float64Histogram
 }
 
-// newMetrics makes the instruments of a node.
+// newMetrics registers the instruments of a node.
 func newMetrics(e *Edge) (*metrics, error) {
 	m := &metrics{}
 	var errs [6]error
@@ -37,7 +37,7 @@
 	errs[4] = e.tele.Observe(
 		telemetry.Observed{Name: "croftturn.edge.active", Help: "requests being served", Read: func() int64 { return int64(e.dispatcher.Active()) }},
 		telemetry.Observed{Name: "croftturn.edge.engine_connections_opened", Help: "connections opened to engines", Read: func() int64 { return e.egress.Opened() }},
-		telemetry.Observed{Name: "croftturn.edge.log_lines_dropped", Help: "log lines dropped", Read: func() int64 { return e.lines.Dropped() }},
+		telemetry.Observed{Name: "croftturn.edge.log_lines_dropped", Help: "log lines dropped", Read: func() int64 { return e.logWriter.Dropped() }},
 		telemetry.Observed{Name: "croftturn.edge.nodes", Help: "nodes alive", Read: func() int64 { return int64(e.gossip.Nodes()) }},
 		telemetry.Observed{Name: "croftturn.edge.config_age_ms", Help: "age of the proof that the configuration is the newest", Read: func() int64 { return e.proof.AgeMs(clock.Now()) }},
 		telemetry.Observed{Name: "croftturn.edge.entries_refused", Help: "changes of engines' entries that could not be understood", Read: func() int64 { return e.discovery.Refused() }},
@@ -53,12 +53,12 @@
 		telemetry.Observed{Name: "croftturn.edge.peer_bytes_in", Help: "bytes received in calls of peers", Read: func() int64 { return e.traffic.BytesIn.Load() }},
 	)
 	if err := errors.Join(errs[:]...); err != nil {
-		return nil, fmt.Errorf("make instruments: %w", err)
+		return nil, fmt.Errorf("create instruments: %w", err)
 	}
 	return m, nil
 }
 
-// Ended counts the end of a request.
+// Ended counts a request that has ended.
 func (m *metrics) Ended(route, outcome string, first, total time.Duration) {
 	ctx := context.Background()
 	labels := metric.WithAttributes(attribute.String("route", route), attribute.String("outcome", outcome))
@@ -74,14 +74,14 @@
 	m.retried.Add(context.Background(), 1, metric.WithAttributes(attribute.String("pool", pool)))
 }
 
-// Began counts a request of a team that an engine began to run.
+// Began counts a request that an engine has started to run for a team.
 func (m *metrics) Began(now time.Time, team string) {
 	if m.usage != nil && team != "" {
 		m.usage.Began(now, team)
 	}
 }
 
-// EngineEnded counts a request under which its engine has ended.
+// EngineEnded counts a request whose engine ended while running it.
 func (m *metrics) EngineEnded(pool string) {
 	m.crashed.Add(context.Background(), 1, metric.WithAttributes(attribute.String("pool", pool)))
 }
--- a/internal/edge/reading.go
+++ b/internal/edge/reading.go
@@ -12,83 +12,85 @@
 )
 
 const (
-	// readers is how many nodes read the platform's tables; the others hear of
-	// changes from them. Two, so that the loss of one delays nothing.
-	readers = 2
-
-	// readMoreAfter is the age of the proof at which twice as many nodes read, and
-	// four times as many half as long later: those that read now do not succeed.
-	readMoreAfter = 2 * time.Second
-
-	// firstReads is how long after its start a hub first reads at the first start of the whole
-	// system: until all nodes have registered, each knows too few others to leave it to them.
-	firstReads = 2500 * time.Millisecond
-
-	// registerWait is how long a node waits for the register at the first start of the
-	// whole system, and peersWait for its peers, before it may read by itself. Nodes write their
-	// rows within two seconds, and the store may take another for the last of them.
+	// readerCount is how many nodes read the platform's tables; the others get changes from them.
+	// With two, the loss of one causes no delay.
+	readerCount = 2
+
+	// moreReadersAfter is the proof age from which twice as many nodes read, and four times as
+	// many from one and a half times this age: the present readers are failing.
+	moreReadersAfter = 2 * time.Second
+
+	// firstReadDelay is how long a hub waits before it first reads at the first start of the whole
+	// system. Until all nodes have registered, each knows too few others to leave the reading to
+	// them.
+	firstReadDelay = 2500 * time.Millisecond
+
+	// registerWait is how long a node waits for the register at the first start of the whole
+	// system, and peersWait for its peers, before it may read by itself. Nodes write their rows
+	// within two seconds, and the store may take another second for the last of them.
 	registerWait = 4 * time.Second
 	peersWait    = 1500 * time.Millisecond
 
-	// firstOdds is one in how many nodes reads at first where none has told this one; every widenEvery twice as many do, so
-	// that some do soon, however many there are, and not all at once.
-	firstOdds  = 1024
-	widenEvery = 500 * time.Millisecond
-
-	// spokesRead is how many spokes try to read at a time where the hubs do not succeed, and
-	// spokesTurn how long they try before it is the turn of others: the store may turn some
-	// machines away, but not all nodes should ask one that is away.
-	spokesRead = 8
-	spokesTurn = 2 * time.Second
-
-	// probeAlone is how long after a start the configuration alone is asked for, until
-	// an answer proves it: where the store is away when all nodes start, each of their
-	// calls fails and is paid for. Later the other calls are tried as well, since a store
-	// may answer for some tables only.
-	probeAlone = 3 * time.Second
-
-	// probePoll is how often a node that starts looks whether it has the proof.
-	probePoll = 10 * time.Millisecond
-
-	// cantReadFor is how long a node whose call failed, or that had no answer for
-	// too long, leaves reading to others.
-	cantReadFor = 3 * time.Second
-
-	// readSilenceShare of the time within which new work at an engine that leaves must
-	// stop is how long a reader may be without an answer before another reads in its
-	// place: half as long again as its shortest call waits.
-	readSilenceShare = 0.6
+	// initialReadOdds is such that one in this many nodes reads at first if a node has heard from
+	// no others. The odds are halved at every oddsHalvingInterval, so that some nodes read soon
+	// however many there are, and not all at once.
+	initialReadOdds     = 1024
+	oddsHalvingInterval = 500 * time.Millisecond
+
+	// spokeReaderCount is how many spokes read at a time when the hubs fail, and spokeTurnTime how
+	// long before others take their turn. The store may reject calls of some machines only, but
+	// not all nodes should call a store that is unavailable.
+	spokeReaderCount = 8
+	spokeTurnTime    = 2 * time.Second
+
+	// configOnlyTime is how long after a start only the configuration is read, until an answer
+	// proves it. If the store is unavailable when all nodes start, every call fails and is still
+	// paid for. Later the other tables are tried too, since a store may answer for some tables
+	// only.
+	configOnlyTime = 3 * time.Second
+
+	// proofPollInterval is how often a starting node checks whether it has a proof.
+	proofPollInterval = 10 * time.Millisecond
+
+	// readFailureTime is how long a node leaves reading to others after a call failed or went
+	// unanswered for too long.
+	readFailureTime = 3 * time.Second
+
+	// maxSilenceShare is how long a reader may go without an answer before another reads instead,
+	// as a share of the time within which new work at a leaving engine must stop. It is one and a
+	// half times the share for which its shortest call waits.
+	maxSilenceShare = 0.6
 )
 
 // candidate is a node that may read the platform's tables.
 type candidate struct {
-	fails bool    // fails says that it had no answer of the store lately.
-	cores float64 // cores is the processor that it may use.
-	hash  uint64  // hash orders candidates alike at all nodes.
+	failing bool    // failing says that its recent calls to the store failed or went unanswered.
+	cores   float64 // cores is the processor capacity it may use.
+	hash    uint64  // hash gives all nodes the same order of candidates.
 }
 
-// newCandidate returns a candidate; cores is 0 where it is not known.
+// newCandidate returns a candidate; cores is 0 if unknown.
 func newCandidate(name string, cores float64, fails bool) candidate {
 	if cores <= 0 {
 		cores = 1
 	}
-	return candidate{fails: fails, cores: cores, hash: xxhash.Sum64String(name)}
+	return candidate{failing: fails, cores: cores, hash: xxhash.Sum64String(name)}
 }
 
-// before reports whether a candidate should read rather than another: one that
-// can, of those the larger, since all others have from it what it reads, and of one size
-// the one with the lower hash.
+// before reports whether a candidate should read in preference to another. Nodes that can read
+// come first, then larger ones, since all others get the data from the readers, then those with
+// the lower hash.
 func (c candidate) before(other candidate) bool {
 	switch {
-	case c.fails != other.fails:
-		return !c.fails
+	case c.failing != other.failing:
+		return !c.failing
 	case c.cores != other.cores:
 		return c.cores > other.cores
 	}
 	return c.hash < other.hash
 }
 
-// rank returns how many of others come before a candidate.
+// rank returns how many of the others come before a candidate.
 func (c candidate) rank(others []candidate) int {
 	before := 0
 	for _, other := range others {
@@ -99,109 +101,107 @@
 	return before
 }
 
-// reads reports whether this node should read the platform's tables: whether it
-// is among the first of the nodes that are alive and can read. A node
-// that hears nobody always reads.
-func (e *Edge) reads(now time.Time) bool { return e.readsAs(now, e.settings.Instance) }
+// shouldRead reports whether this node should read the platform's tables: whether it is among the
+// first of the nodes that are alive and can read. A node that hears from no other always reads.
+func (e *Edge) shouldRead(now time.Time) bool { return e.shouldReadAs(now, e.settings.Instance) }
 
-// awaitRegister waits, after the store's first answer, until this node knows the others: a
-// spoke does not read the engines, but takes them from its hubs.
+// awaitRegister waits until this node knows the others from the register: a spoke gets the engines
+// from its hubs instead of reading them. It is called after the store's first answer.
 func (e *Edge) awaitRegister(ctx context.Context) {
-	for ctx.Err() == nil && !e.register.Read() && clock.Since(e.startedAt) <= probeAlone {
-		pause.For(ctx, probePoll)
+	for ctx.Err() == nil && !e.register.Read() && clock.Since(e.startedAt) <= configOnlyTime {
+		pause.For(ctx, proofPollInterval)
 	}
 	e.gossip.Settle(clock.Now())
 }
 
-// awaitAnswer waits until the store has answered since the start, or has not for so
-// long that each table is asked for by itself. At the first start of the whole system
-// nothing is held back: the register is read first there.
+// awaitAnswer waits for the store's first answer since the start, for at most configOnlyTime;
+// after that each table is read regardless. It does not wait at the first start of the whole
+// system, when the register is read first.
 func (e *Edge) awaitAnswer(ctx context.Context) {
 	for ctx.Err() == nil {
 		now := clock.Now()
 		_, proven := e.proof.Age(now)
-		if proven || e.settings.FirstStart || now.Sub(e.startedAt) > probeAlone {
+		if proven || e.settings.FirstStart || now.Sub(e.startedAt) > configOnlyTime {
 			return
 		}
-		pause.For(ctx, probePoll)
+		pause.For(ctx, proofPollInterval)
 	}
 }
 
-// readsAs reports whether the node of a name, with what this one knows, should read.
-func (e *Edge) readsAs(now time.Time, self string) bool {
-	limit := readers
+// shouldReadAs reports whether the named node should read, judged by what this node knows.
+func (e *Edge) shouldReadAs(now time.Time, self string) bool {
+	limit := readerCount
 	age, ok := e.proof.Age(now)
 	switch {
 	case !ok:
-		return e.readsUnproven(now, self)
+		return e.shouldReadUnproven(now, self)
 	case !e.gossip.Hub():
-		return age > readMoreAfter*3/2 && e.spokeReads(now)
-	case age > readMoreAfter*3/2:
+		return age > moreReadersAfter*3/2 && e.spokeShouldRead(now)
+	case age > moreReadersAfter*3/2:
 		limit *= 4
-	case age > readMoreAfter:
+	case age > moreReadersAfter:
 		limit *= 2
 	}
-	return e.among(now, self, limit)
+	return e.rankedWithin(now, self, limit)
 }
 
-// among reports whether a node is among the first hubs that can read, of which there are to be so many.
-func (e *Edge) among(now time.Time, self string, limit int) bool {
+// rankedWithin reports whether a node is among the first limit hubs that can read.
+func (e *Edge) rankedWithin(now time.Time, self string, limit int) bool {
 	hubs := e.gossip.Hubs(now)
 	if len(hubs) < limit {
 		return true
 	}
 	others := make([]candidate, 0, len(hubs))
 	for _, p := range hubs {
-		silent := ms(int(p.Said.SilentMs)) > e.readSilence()
+		silent := ms(int(p.Said.SilentMs)) > e.maxSilence()
 		others = append(others, newCandidate(p.Name, p.Cores, p.Said.CantRead || silent))
 	}
-	return newCandidate(self, cores(e.settings), e.cantRead(now)).rank(others) < limit
+	return newCandidate(self, cores(e.settings), e.readFailing(now)).rank(others) < limit
 }
 
-// readsUnproven reports whether the node of a name should read the tables where this one has no proof. When
-// the whole system starts for the first time, no caller waits yet: the first hubs read, more of them until they have told
-// the others, and those that know nobody by lot. At any other start callers wait, so that
-// the node asks for the configuration at once; where its proof has lapsed later, the hubs
-// read and a few others.
-func (e *Edge) readsUnproven(now time.Time, self string) bool {
+// shouldReadUnproven reports whether the named node should read while this node has no proof. At
+// the first start of the whole system no caller waits yet: the first hubs read, more of them over
+// time until they have told the others, and nodes that know no others are drawn by lot. At any
+// other start callers wait, so the node reads the configuration at once. If the proof expires
+// later, the hubs and a few spokes read.
+func (e *Edge) shouldReadUnproven(now time.Time, self string) bool {
 	age := now.Sub(e.startedAt)
 	starts := !e.settings.FirstStart && age <= peersWait
 	switch {
-	case e.settings.FirstStart && age < firstReads:
+	case e.settings.FirstStart && age < firstReadDelay:
 		return false
 	case e.settings.FirstStart && !e.register.Read():
-		return drawn(self, age-registerWait)
+		return drawnByLot(self, age-registerWait)
 	case e.settings.FirstStart && e.gossip.Hub():
-		return e.among(now, self, readers<<min((age-firstReads)/widenEvery, 16))
+		return e.rankedWithin(now, self, readerCount<<min((age-firstReadDelay)/oddsHalvingInterval, 16))
 	case starts || e.gossip.Hub():
 		return true
 	}
-	return age > registerWait && e.spokeReads(now)
+	return age > registerWait && e.spokeShouldRead(now)
 }
 
-// drawn reports whether the lot of a node has been drawn after it has waited for a time: first for one in firstOdds, then for
-// more, and for all in the end.
-func drawn(name string, waited time.Duration) bool {
+// drawnByLot reports whether a node that has waited for a time is selected by its hash: one in
+// initialReadOdds nodes at first, more later, and all in the end.
+func drawnByLot(name string, waited time.Duration) bool {
 	if waited < 0 {
 		return false
 	}
-	odds := uint64(firstOdds) >> min(waited/widenEvery, 63)
+	odds := uint64(initialReadOdds) >> min(waited/oddsHalvingInterval, 63)
 	return xxhash.Sum64String(name)%max(1, odds) == 0
 }
 
-// spokeReads reports whether it is this spoke's turn to read.
-func (e *Edge) spokeReads(now time.Time) bool {
-	turn := int64(now.Sub(e.startedAt) / spokesTurn)
+// spokeShouldRead reports whether it is this spoke's turn to read.
+func (e *Edge) spokeShouldRead(now time.Time) bool {
+	turn := int64(now.Sub(e.startedAt) / spokeTurnTime)
 	lot := xxhash.Sum64String(e.settings.Instance + strconv.FormatInt(turn, 10))
 	nodes, _ := e.gossip.Count()
-	return !e.cantRead(now) && lot%uint64(nodes) < spokesRead
+	return !e.readFailing(now) && lot%uint64(nodes) < spokeReaderCount
 }
 
-// cantRead reports whether this node had a failed call, or no answer for too
-// long, lately.
-func (e *Edge) cantRead(now time.Time) bool {
-	for _, at := range []*time.Time{e.lostAt.Load(), e.silentAt.Load()} {
-		if at != nil && now.Sub(*at) < cantReadFor {
+// readFailing reports whether a call of this node recently failed or went unanswered for too long.
+func (e *Edge) readFailing(now time.Time) bool {
+	for _, at := range []*time.Time{e.storeFailedAt.Load(), e.storeSilentAt.Load()} {
+		if at != nil && now.Sub(*at) < readFailureTime {
 			return true
 		}
 	}
@@ -213,48 +213,48 @@
 	for _, wake := range []chan struct{}{e.wakeConfig, e.wakeEngines} {
 		select {
 		case wake <- struct{}{}:
-		default: // It is awake or was woken.
+		default: // A wake-up is already pending.
 		}
 	}
 }
 
-// watchSilence returns how long this node has had no answer of the store though
-// it reads, or -1 if it does not read. From a certain time on it leaves reading to
-// others. It is asked in each turn of the gossip, and wakes the readers in time.
-func (e *Edge) watchSilence(now time.Time) time.Duration {
-	if !e.reads(now) {
-		e.quietSince.Store(nil)
+// checkSilence returns how long the store has not answered this node, or -1 if the node does not
+// read. Beyond maxSilence the node leaves reading to others. It is called in each gossip round and
+// also wakes the readers.
+func (e *Edge) checkSilence(now time.Time) time.Duration {
+	if !e.shouldRead(now) {
+		e.noAnswerSince.Store(nil)
 		return -1
 	}
 	e.wakeReaders()
-	since := e.quietSince.Load()
+	since := e.noAnswerSince.Load()
 	if since == nil {
-		e.quietSince.Store(&now)
+		e.noAnswerSince.Store(&now)
 		return 0
 	}
 	silent := now.Sub(*since)
-	if silent > e.readSilence() && !e.cantRead(now) {
-		e.log.Warn("store silent", "ms", silent.Milliseconds())
-		e.silentAt.Store(&now)
+	if silent > e.maxSilence() && !e.readFailing(now) {
+		e.log.Warn("store does not answer; leaving the reading to other nodes", "ms", silent.Milliseconds())
+		e.storeSilentAt.Store(&now)
 	}
 	return silent
 }
 
-// readSilence returns how long a reader may be without an answer.
-func (e *Edge) readSilence() time.Duration { return share(readSilenceShare, e.settings.EngineDrainMs) }
+// maxSilence returns how long a reader may go without an answer.
+func (e *Edge) maxSilence() time.Duration { return scaleMs(maxSilenceShare, e.settings.EngineDrainMs) }
 
-// answered records an answer of the store.
-func (e *Edge) answered(at time.Time) { e.quietSince.Store(&at) }
+// storeAnswered records an answer of the store.
+func (e *Edge) storeAnswered(at time.Time) { e.noAnswerSince.Store(&at) }
 
-// lost records that the store could not be called.
-func (e *Edge) lost(now time.Time) {
-	e.lostAt.Store(&now)
+// storeFailed records a failed call to the store.
+func (e *Edge) storeFailed(now time.Time) {
+	e.storeFailedAt.Store(&now)
 	e.discovery.Lost(now)
 }
 
-// proven records an answer of the store by which the configuration in force was
-// the newest at a moment.
-func (e *Edge) proven(at time.Time) {
+// configProven records an answer of the store that proves that the configuration in force was the
+// newest at that time.
+func (e *Edge) configProven(at time.Time) {
 	e.proof.Renew(at)
-	e.answered(at)
+	e.storeAnswered(at)
 }
--- a/internal/edge/reading_test.go
+++ b/internal/edge/reading_test.go
@@ -14,43 +14,43 @@
 	"github.com/croftturn/croftturn/internal/gossip"
 )
 
-// TestFewNodesRead holds that of many nodes a few read the store's tables, that
-// those which can't are passed over, and that a node which hears nobody reads.
+// TestFewNodesRead checks that only a few of many nodes read the store's tables, that nodes that
+// can't read are skipped, and that a node that hears from no other reads.
 func TestFewNodesRead(t *testing.T) {
 	peers := map[string]gossip.Said{}
 	for i := range 9 {
 		peers[fmt.Sprintf("%d-n", i)] = gossip.Said{}
 	}
-	e := heardFrom(t, peers)
+	e := startWithPeers(t, peers)
 	now := time.Now()
-	e.proven(now)
+	e.configProven(now)
 	count := 0
 	for _, name := range append([]string{"self"}, keysOf(peers)...) {
-		if e.readsAs(now, name) {
+		if e.shouldReadAs(now, name) {
 			count++
 		}
 	}
-	if count < readers || count > readers+1 {
-		t.Errorf("%d nodes read, want %d", count, readers)
+	if count < readerCount || count > readerCount+1 {
+		t.Errorf("%d nodes read, want %d", count, readerCount)
 	}
-	if !heardFrom(t, nil).reads(time.Now().Add(time.Second)) {
+	if !startWithPeers(t, nil).shouldRead(time.Now().Add(time.Second)) {
 		t.Error("a node that hears nobody does not read")
 	}
 	for name := range peers {
 		peers[name] = gossip.Said{CantRead: true, SilentMs: -1}
 	}
-	e = heardFrom(t, peers)
-	e.proven(now)
-	if !e.reads(now) {
+	e = startWithPeers(t, peers)
+	e.configProven(now)
+	if !e.shouldRead(now) {
 		t.Error("a node does not read, though no other can")
 	}
 }
 
-// TestSpokesLeaveReadingToHubs holds that a node which is no hub does not read the store's
-// tables and names itself to no caller, and that a few such nodes try in turn where the
-// hubs' proof grows old.
+// TestSpokesLeaveReadingToHubs checks that a spoke does not read the store's tables and does not
+// name itself to callers, and that a few spokes take turns at reading when the hubs' proof gets
+// old.
 func TestSpokesLeaveReadingToHubs(t *testing.T) {
-	e := heardFrom(t, nil)
+	e := startWithPeers(t, nil)
 	now := time.Now()
 	for i := range 30 {
 		name := fmt.Sprint("n", i)
@@ -58,8 +58,8 @@
 	}
 	e.gossip.Settle(now)
 	later := now.Add(time.Minute)
-	e.proven(later)
-	if e.gossip.Hub() || e.reads(later) {
+	e.configProven(later)
+	if e.gossip.Hub() || e.shouldRead(later) {
 		t.Error("a small node among 30 large ones reads")
 	}
 	if got := e.Entries(now, e.settings.Hall); len(got) != 3 || slices.Contains(got, e.settings.CallerAddress) {
@@ -68,18 +68,17 @@
 	const turns = 300
 	reads := 0
 	for i := range turns {
-		at := later.Add(time.Duration(i) * spokesTurn)
+		at := later.Add(time.Duration(i) * spokeTurnTime)
 		e.proof.SetMaxAge(time.Hour)
-		if age, ok := e.proof.Age(at); ok && age > readMoreAfter*3/2 && e.reads(at) {
+		if age, ok := e.proof.Age(at); ok && age > moreReadersAfter*3/2 && e.shouldRead(at) {
 			reads++
 		}
 	}
-	if want := turns * spokesRead / 31; reads < want/2 || reads > want*2 {
+	if want := turns * spokeReaderCount / 31; reads < want/2 || reads > want*2 {
 		t.Errorf("it reads in %d turns of %d without a proof, want about %d", reads, turns, want)
 	}
 }
 
-// keysOf returns the names of peers.
 func keysOf(peers map[string]gossip.Said) []string {
 	var out []string
 	for name := range peers {
@@ -88,18 +87,17 @@
 	return out
 }
 
-// TestSilentReadersArePassedOver holds that nodes which read without having an
-// answer for too long do not keep others from reading, and that this node leaves
-// reading to others when it has none.
+// TestSilentReadersArePassedOver checks that readers that get no answers for too long do not keep
+// others from reading, and that this node leaves reading to others when it gets none.
 func TestSilentReadersArePassedOver(t *testing.T) {
 	peers := map[string]gossip.Said{}
 	for i := range 9 {
 		peers[fmt.Sprintf("%d-n", i)] = gossip.Said{SilentMs: 1500}
 	}
-	e := heardFrom(t, peers)
+	e := startWithPeers(t, peers)
 	now := time.Now()
-	e.proven(now)
-	if !e.reads(now) {
+	e.configProven(now)
+	if !e.shouldRead(now) {
 		t.Error("a node does not read, though those that do have no answer")
 	}
 	peers = map[string]gossip.Said{}
@@ -115,27 +113,27 @@
 	}))
 	t.Cleanup(mute.Close)
 	t.Cleanup(mute.CloseClientConnections)
-	e = heardFromAt(t, mute.Listener.Addr().String(), peers)
+	e = startWithPeersAt(t, mute.Listener.Addr().String(), peers)
 	now = time.Now()
-	e.proven(now)
-	e.quietSince.Store(nil)
-	if e.watchSilence(now) != 0 || e.watchSilence(now.Add(time.Second)) != time.Second || e.cantRead(now.Add(time.Second)) {
+	e.configProven(now)
+	e.noAnswerSince.Store(nil)
+	if e.checkSilence(now) != 0 || e.checkSilence(now.Add(time.Second)) != time.Second || e.readFailing(now.Add(time.Second)) {
 		t.Error("a node that reads is silent too soon")
 	}
 	later := now.Add(1300 * time.Millisecond)
 	for name := range peers {
-		e.gossip.Introduce(later, gossip.Self{Name: name, Incarnation: 1}, peers[name]) // They are heard until then.
+		e.gossip.Introduce(later, gossip.Self{Name: name, Incarnation: 1}, peers[name]) // They are still being heard from.
 	}
-	if e.watchSilence(later); !e.cantRead(later) || e.reads(later) {
+	if e.checkSilence(later); !e.readFailing(later) || e.shouldRead(later) {
 		t.Error("a node without answers goes on reading")
 	}
-	if again := later.Add(4 * time.Second); e.cantRead(again) {
+	if again := later.Add(4 * time.Second); e.readFailing(again) {
 		t.Error("a node never reads again")
 	}
 }
 
-// TestOneProbeWhileTheStoreIsAway holds that a node which restarts while the store is
-// away asks it for the configuration only, and for the rest once it has answered.
+// TestOneProbeWhileTheStoreIsAway checks that a node that restarts while the store is unavailable
+// reads the configuration only, and the other tables once the store has answered.
 func TestOneProbeWhileTheStoreIsAway(t *testing.T) {
 	var mu sync.Mutex
 	asked, away := map[string]int{}, true
@@ -162,7 +160,7 @@
 		}
 		return config, others
 	}
-	heardFromAt(t, server.Listener.Addr().String(), nil)
+	startWithPeersAt(t, server.Listener.Addr().String(), nil)
 	waitFor(t, func() bool { config, _ := counts(); return config >= 3 }, "the configuration is not asked for")
 	if _, others := counts(); others != 0 {
 		t.Errorf("%d other calls while the store is away: %v", others, asked)
@@ -177,14 +175,13 @@
 	}, "engines or register are not asked for after the store's return")
 }
 
-// TestLargestNodesRead holds that the nodes which read the store are the largest of those that
-// can, whatever their names: what a reader has all others take from it, so that a
-// configuration of 0.57 MB which two nodes with a fifth of a core and 10 Mbit/s had read
-// was not at most of 87 nodes 4 s later.
+// TestLargestNodesRead checks that the largest nodes that can read do so, whatever their names.
+// All others take the data from the readers: when two nodes with a fifth of a core and 10 Mbit/s
+// had read a configuration of 0.57 MB, most of 87 nodes did not have it 4 s later.
 func TestLargestNodesRead(t *testing.T) {
-	e := heardFrom(t, nil)
+	e := startWithPeers(t, nil)
 	now := time.Now()
-	e.proven(now)
+	e.configProven(now)
 	introduce := func(name string, cores float64, said gossip.Said) {
 		e.gossip.Introduce(now, gossip.Self{Name: name, Incarnation: 1, CallerAddress: "c-" + name, Hall: e.settings.Hall, Cores: cores}, said)
 	}
@@ -196,7 +193,7 @@
 		names[i] = fmt.Sprint("self", i)
 	}
 	for _, name := range names {
-		if !e.readsAs(now, name) {
+		if !e.shouldReadAs(now, name) {
 			t.Errorf("%s with one core leaves reading to nodes with a fifth of one", name)
 		}
 	}
@@ -204,27 +201,27 @@
 		introduce(fmt.Sprint("large", i), 4, gossip.Said{SilentMs: -1})
 	}
 	for _, name := range names {
-		if e.readsAs(now, name) {
+		if e.shouldReadAs(now, name) {
 			t.Errorf("%s with one core reads beside nodes with four", name)
 		}
 	}
 	introduce("large0", 4, gossip.Said{CantRead: true, SilentMs: -1})
 	for _, name := range names {
-		if !e.readsAs(now, name) {
+		if !e.shouldReadAs(now, name) {
 			t.Errorf("%s does not read in the place of a larger node that can't", name)
 		}
 	}
 }
 
-// TestLotsAreDrawnWhateverTheNumberOfNodes holds that of nodes which know nobody some read soon after they have waited, a few at
-// first, and all in the end.
+// TestLotsAreDrawnWhateverTheNumberOfNodes checks that among nodes that know no others a few read
+// soon, and all in the end, however many there are.
 func TestLotsAreDrawnWhateverTheNumberOfNodes(t *testing.T) {
 	for _, nodes := range []int{1, 30, 1000, 20000} {
 		before := 0
-		for waited := -widenEvery; waited <= 10*widenEvery; waited += widenEvery {
+		for waited := -oddsHalvingInterval; waited <= 10*oddsHalvingInterval; waited += oddsHalvingInterval {
 			reads := 0
 			for i := range nodes {
-				if drawn(fmt.Sprint("n", i), waited) {
+				if drawnByLot(fmt.Sprint("n", i), waited) {
 					reads++
 				}
 			}
--- a/internal/edge/rest_test.go
+++ b/internal/edge/rest_test.go
@@ -8,48 +8,50 @@
 	"time"
 )
 
-// restSettles is how long after an engine asked a node for rest it may get more than mostInRest requests of it until the end.
+// restGrace is how long after an engine asked a node for rest its requests are not counted; after
+// that the engine may get maxDuringRest requests from the node until the rest ends.
 const (
-	restSettles = 500 * time.Millisecond
-	mostInRest  = 2
+	restGrace     = 500 * time.Millisecond
+	maxDuringRest = 2
 )
 
-// TestAnEngineThatAsksForRestGetsIt guards against requests of a node to an engine that has turned it away and asked it for rest.
+// TestAnEngineThatAsksForRestGetsIt guards against a node sending requests to an engine that
+// rejected one and asked for rest.
 func TestAnEngineThatAsksForRestGetsIt(t *testing.T) {
 	for _, test := range []struct {
-		name    string
-		resting int // resting is how many of three engines ask for rest.
-		rest    string
-		bound   time.Duration // bound is how long they are to get it at least.
-		also    func(w *saysWorld)
+		name      string
+		resting   int // resting is how many of the three engines ask for rest.
+		rest      string
+		minRest   time.Duration // minRest is how long they must be left alone.
+		meanwhile func(w *scriptedCluster)
 	}{
-		{"one of three", 1, "2.5", 2500 * time.Millisecond, func(*saysWorld) {}},
-		{"all of them", 3, "2.5", 2500 * time.Millisecond, func(*saysWorld) {}},
-		{"while entries are renewed", 3, "2.5", 2500 * time.Millisecond, func(w *saysWorld) { w.version.Add(1) }},
-		{"for a day", 1, "86400", 3 * time.Second, func(*saysWorld) {}},
+		{"one of three", 1, "2.5", 2500 * time.Millisecond, func(*scriptedCluster) {}},
+		{"all of them", 3, "2.5", 2500 * time.Millisecond, func(*scriptedCluster) {}},
+		{"while entries are renewed", 3, "2.5", 2500 * time.Millisecond, func(w *scriptedCluster) { w.version.Add(1) }},
+		{"for a day", 1, "86400", 3 * time.Second, func(*scriptedCluster) {}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			w := newSaysWorld(t, 3, 3)
+			w := newScriptedCluster(t, 3, 3)
 			for _, e := range w.engines[:test.resting] {
-				e.rests(test.rest)
+				e.setRest(test.rest)
 			}
-			time.AfterFunc(restSettles, func() { test.also(w) })
-			w.load(10*time.Millisecond, 3*time.Second, func(string, time.Time, got) {})
+			time.AfterFunc(restGrace, func() { test.meanwhile(w) })
+			w.load(10*time.Millisecond, 3*time.Second, func(string, time.Time, result) {})
 			for _, e := range w.engines[:test.resting] {
 				for _, node := range w.nodes {
-					came := e.by(node.settings.Instance)
+					came := e.arrivalsFrom(node.settings.Instance)
 					if len(came) == 0 {
-						t.Fatal("nothing was sent there before it asked for rest")
+						t.Fatal("no request was sent to the engine before it asked for rest")
 					}
 					in := 0
 					for _, at := range came {
-						if after := at.Sub(came[0]); after > restSettles && after < test.bound {
+						if after := at.Sub(came[0]); after > restGrace && after < test.minRest {
 							in++
 						}
 					}
-					if in > mostInRest {
-						t.Errorf("%d requests of a node came within its rest of %v", in, test.bound)
+					if in > maxDuringRest {
+						t.Errorf("%d requests of a node came during the rest of %v", in, test.minRest)
 					}
 				}
 			}
@@ -57,47 +59,49 @@
 	}
 }
 
-// TestWhereAllEnginesAskForRestCallersComeBackAfterIt guards against callers that are refused late, or come back before the rest of the engines ends, or all at once.
+// TestWhereAllEnginesAskForRestCallersComeBackAfterIt guards against callers that are refused
+// late, that retry before the engines' rest ends, or that all retry at the same time.
 func TestWhereAllEnginesAskForRestCallersComeBackAfterIt(t *testing.T) {
-	w := newSaysWorld(t, 2, 2)
+	w := newScriptedCluster(t, 2, 2)
 	for _, e := range w.engines {
-		e.rests("0.5")
+		e.setRest("0.5")
 	}
 	begin := time.Now()
 	var mu sync.Mutex
-	comeBacks := map[string]bool{}
+	retryAfters := map[string]bool{}
 	early := 0
-	w.load(10*time.Millisecond, 2*time.Second, func(_ string, sent time.Time, g got) {
+	w.load(10*time.Millisecond, 2*time.Second, func(_ string, sent time.Time, g result) {
 		mu.Lock()
 		defer mu.Unlock()
-		after, err := strconv.ParseFloat(g.comeBack, 64)
+		after, err := strconv.ParseFloat(g.retryAfter, 64)
 		if g.status != http.StatusServiceUnavailable || err != nil || g.took > 200*time.Millisecond {
-			t.Errorf("status %d after %v, to come back after %q", g.status, g.took, g.comeBack)
+			t.Errorf("status %d after %v with Retry-After %q", g.status, g.took, g.retryAfter)
 		}
-		comeBacks[g.comeBack] = true
+		retryAfters[g.retryAfter] = true
 		if sent.Sub(begin) < 300*time.Millisecond && after < 0.15 {
 			early++
 		}
 	})
-	if early > 0 || len(comeBacks) < 50 {
-		t.Errorf("%d were told to come back before the rest ends, at %d different times", early, len(comeBacks))
+	if early > 0 || len(retryAfters) < 50 {
+		t.Errorf("%d were told to retry before the rest ends; %d different values of Retry-After", early, len(retryAfters))
 	}
 	for _, e := range w.engines {
-		if n := e.between(begin, time.Now()); n > 20 {
+		if n := e.countBetween(begin, time.Now()); n > 20 {
 			t.Errorf("%d requests were sent to an engine that asks for rest each time", n)
 		}
 	}
 }
 
-// TestAnEngineThatHasRestedIsUsedAgain guards against a rest that does not end, and against all that wait coming at its end.
+// TestAnEngineThatHasRestedIsUsedAgain guards against a rest that does not end, and against all
+// waiting requests being sent when it ends.
 func TestAnEngineThatHasRestedIsUsedAgain(t *testing.T) {
-	w := newSaysWorld(t, 2, 3)
+	w := newScriptedCluster(t, 2, 3)
 	e := w.engines[0]
-	e.rests("1")
+	e.setRest("1")
 	begin := time.Now()
 	time.AfterFunc(500*time.Millisecond, func() { e.status.Store(0) })
-	w.load(10*time.Millisecond, 3*time.Second, func(string, time.Time, got) {})
-	if n := e.between(begin.Add(2*time.Second), time.Now()); n < 20 {
-		t.Errorf("%d requests in the last second, long after its rest", n)
+	w.load(10*time.Millisecond, 3*time.Second, func(string, time.Time, result) {})
+	if n := e.countBetween(begin.Add(2*time.Second), time.Now()); n < 20 {
+		t.Errorf("%d requests in the last second, long after the rest ended", n)
 	}
 }
--- a/internal/edge/says_rig_test.go
+++ b/internal/edge/says_rig_test.go
@@ -16,53 +16,53 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// saysConfig is a configuration with a route of each of two tiers, to one pool.
-const saysConfig = `{"version":3,"routes":[` +
+// twoTierConfig is a configuration with two routes of different tiers to one pool.
+const twoTierConfig = `{"version":3,"routes":[` +
 	`{"name":"high","host":"h","path_prefix":"/high/","kind":"safe","timeout_ms":2000,"target_latency_ms":600,"priority":0,"service":"p","max_attempts":2},` +
 	`{"name":"low","host":"h","path_prefix":"/low/","kind":"safe","timeout_ms":2000,"target_latency_ms":600,"priority":1,"service":"p","max_attempts":2}],` +
 	`"services":[{"name":"p","max_connections":90}],"limits":{"max_body_bytes":1000},"tenants":[{"name":"t","api_keys":["k"]}]}`
 
 type (
-	// saysWorld is some nodes, and engines that say of themselves what a test wants.
-	saysWorld struct {
-		nodes   []*Edge
-		engines []*sayingEngine
-		address string       // address is the store's.
-		version atomic.Int64 // version is of the newest change of an entry; the rows have it.
-		away    atomic.Bool  // away says that the store turns all calls away.
-	}
-
-	// sayingEngine is a stand-in engine.
-	sayingEngine struct {
-		id, hall string
-		address  string
-		limit    atomic.Pointer[float64] // limit is what it names; nil for none.
-		leaving  atomic.Bool             // leaving says that it says so in its answers.
-		status   atomic.Int64            // status is that of its answers; 0 for 200. With 503 it did not run the request.
-		rest     atomic.Pointer[string]  // rest is the time to come back that its refusals bear; nil for none.
-		born     atomic.Int64            // born is when it started, as its entry says.
+	// scriptedCluster is a set of nodes, and of engines that announce what a test sets.
+	scriptedCluster struct {
+		nodes     []*Edge
+		engines   []*scriptedEngine
+		address   string       // address is the store's.
+		version   atomic.Int64 // version is that of the newest change of an entry, and of all rows.
+		storeDown atomic.Bool  // storeDown makes the store reject all calls.
+	}
+
+	// scriptedEngine is a fake engine.
+	scriptedEngine struct {
+		id, hall   string
+		address    string
+		limit      atomic.Pointer[float64] // limit is the limit it announces; nil for none.
+		leaving    atomic.Bool             // leaving makes it announce in its responses that it leaves.
+		status     atomic.Int64            // status is that of its responses; 0 for 200. With 503 it has not run the request.
+		retryAfter atomic.Pointer[string]  // retryAfter is the Retry-After value of its 503 responses; nil for none.
+		startedAt  atomic.Int64            // startedAt is its start time as stated in its entry.
 
 		mu       sync.Mutex
 		arrivals []time.Time
-		from     []string // from holds the nodes that sent what arrived, by their requests' ids.
+		senders  []string // senders are the nodes that sent the requests in arrivals, taken from the request IDs.
 	}
 
-	// got is what a caller got.
-	got struct {
-		status   int
-		took     time.Duration
-		comeBack string
+	// result is the answer to a caller.
+	result struct {
+		status     int
+		took       time.Duration
+		retryAfter string
 	}
 )
 
-// newSaysWorld starts engines, and nodes that know each other and them.
-func newSaysWorld(t *testing.T, engines, nodes int) *saysWorld {
+// newScriptedCluster starts engines, a store and nodes that know each other.
+func newScriptedCluster(t *testing.T, engines, nodes int) *scriptedCluster {
 	t.Helper()
-	w := &saysWorld{}
+	w := &scriptedCluster{}
 	w.version.Store(6)
 	for i := range engines {
-		e := &sayingEngine{id: fmt.Sprint("e", i), hall: "h1"}
-		e.born.Store(1)
+		e := &scriptedEngine{id: fmt.Sprint("e", i), hall: "h1"}
+		e.startedAt.Store(1)
 		server := httptest.NewServer(e)
 		t.Cleanup(server.Close)
 		e.address = server.Listener.Addr().String()
@@ -74,13 +74,13 @@
 	for i := range nodes {
 		w.nodes = append(w.nodes, startNode(t, fmt.Sprint("n", i), w.address))
 	}
-	acquaint(t, w.nodes)
+	connect(t, w.nodes)
 	return w
 }
 
-// store answers reads with the configuration and the engines' entries.
-func (w *saysWorld) store(rw http.ResponseWriter, r *http.Request) {
-	if w.away.Load() {
+// store is the store's handler: it returns the configuration and the engines' entries.
+func (w *scriptedCluster) store(rw http.ResponseWriter, r *http.Request) {
+	if w.storeDown.Load() {
 		http.Error(rw, "away", http.StatusServiceUnavailable)
 		return
 	}
@@ -92,22 +92,22 @@
 	switch table, since := r.URL.Query().Get("table"), r.URL.Query().Get("since_revision"); {
 	case since == strconv.FormatInt(version, 10):
 	case table == "op":
-		rows = append(rows, fmt.Sprintf(`{"table":"op","part":"","tls_key":"config","value":%q,"ver":5}`, base64.StdEncoding.EncodeToString([]byte(saysConfig))))
+		rows = append(rows, fmt.Sprintf(`{"table":"op","part":"","tls_key":"config","value":%q,"ver":5}`, base64.StdEncoding.EncodeToString([]byte(twoTierConfig))))
 	case table == "servers":
 		for _, e := range w.engines {
-			value := fmt.Sprintf(`{"service":"p","address":%q,"zone":%q,"version":"1","slots":64,"state":"ready","cold_remaining_ms":0,"sequence":%d,"born":%d}`, e.address, e.hall, version, e.born.Load())
+			value := fmt.Sprintf(`{"service":"p","address":%q,"zone":%q,"version":"1","slots":64,"state":"ready","cold_remaining_ms":0,"sequence":%d,"born":%d}`, e.address, e.hall, version, e.startedAt.Load())
 			rows = append(rows, fmt.Sprintf(`{"table":"servers","part":"","tls_key":%q,"value":%q,"ver":%d}`, e.id, base64.StdEncoding.EncodeToString([]byte(value)), version))
 		}
 	}
 	fmt.Fprintf(rw, `{"rows":[%s],"ver":%d,"now_ms":%d}`, strings.Join(rows, ","), version, time.Now().UnixMilli())
 }
 
-// ServeHTTP runs one request, and says of the engine what it is to say.
-func (e *sayingEngine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+// ServeHTTP answers a request with the announcements that the test has set.
+func (e *scriptedEngine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	node, _, _ := strings.Cut(r.Header.Get("Attempt-Id"), "-")
 	e.mu.Lock()
 	e.arrivals = append(e.arrivals, time.Now())
-	e.from = append(e.from, node)
+	e.senders = append(e.senders, node)
 	e.mu.Unlock()
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
 		return
@@ -122,7 +122,7 @@
 	switch status := int(e.status.Load()); status {
 	case http.StatusServiceUnavailable:
 		w.Header().Set("Not-Executed", "1")
-		if rest := e.rest.Load(); rest != nil {
+		if rest := e.retryAfter.Load(); rest != nil {
 			w.Header().Set("Retry-After", *rest)
 		}
 		w.WriteHeader(status)
@@ -135,8 +135,8 @@
 	fmt.Fprint(w, "well")
 }
 
-// names has the engine name a limit from now on, or none where it is below 0.
-func (e *sayingEngine) names(limit float64) {
+// setLimit sets the limit that the engine announces; a negative one removes it.
+func (e *scriptedEngine) setLimit(limit float64) {
 	if limit < 0 {
 		e.limit.Store(nil)
 		return
@@ -144,27 +144,27 @@
 	e.limit.Store(&limit)
 }
 
-// rests has the engine turn requests away from now on and ask for rest, until it is told otherwise.
-func (e *sayingEngine) rests(seconds string) {
-	e.rest.Store(&seconds)
+// setRest makes the engine reject requests and ask for rest, until its status is set again.
+func (e *scriptedEngine) setRest(seconds string) {
+	e.retryAfter.Store(&seconds)
 	e.status.Store(http.StatusServiceUnavailable)
 }
 
-// by returns the moments at which requests of a node came.
-func (e *sayingEngine) by(node string) []time.Time {
+// arrivalsFrom returns when requests of a node arrived.
+func (e *scriptedEngine) arrivalsFrom(node string) []time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var out []time.Time
 	for i, at := range e.arrivals {
-		if e.from[i] == node {
+		if e.senders[i] == node {
 			out = append(out, at)
 		}
 	}
 	return out
 }
 
-// between returns how many requests came between two moments.
-func (e *sayingEngine) between(from, to time.Time) int {
+// countBetween returns how many requests arrived between two times.
+func (e *scriptedEngine) countBetween(from, to time.Time) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	n := 0
@@ -176,58 +176,59 @@
 	return n
 }
 
-// most returns the most requests that came within a span, from a moment on.
-func (e *sayingEngine) most(from time.Time, span time.Duration) int {
+// maxWithin returns the largest number of requests that arrived within a span starting at or after
+// a time.
+func (e *scriptedEngine) maxWithin(from time.Time, span time.Duration) int {
 	e.mu.Lock()
 	arrivals := append([]time.Time(nil), e.arrivals...)
 	e.mu.Unlock()
 	most := 0
 	for _, at := range arrivals {
 		if !at.Before(from) {
-			most = max(most, e.between(at, at.Add(span)))
+			most = max(most, e.countBetween(at, at.Add(span)))
 		}
 	}
 	return most
 }
 
-// load sends requests at an interval for a time, to the nodes by turns, every second one of the lower tier. It calls ended
-// with each end.
-func (w *saysWorld) load(every, lasts time.Duration, ended func(route string, sent time.Time, g got)) {
+// load sends requests at an interval for a duration, to the nodes in turn and alternating between
+// the two tiers. It calls onEnd with each answer.
+func (w *scriptedCluster) load(every, duration time.Duration, onEnd func(route string, sent time.Time, g result)) {
 	var wg sync.WaitGroup
 	tick := time.NewTicker(every)
 	defer tick.Stop()
-	for i, begin := 0, time.Now(); time.Since(begin) < lasts; i++ {
+	for i, begin := 0, time.Now(); time.Since(begin) < duration; i++ {
 		<-tick.C
 		wg.Go(func() {
 			route, sent := []string{"high", "low"}[i/len(w.nodes)%2], time.Now()
 			node := w.nodes[i%len(w.nodes)]
-			ended(route, sent, w.ask(node, route, fmt.Sprint(node.settings.Instance, "-", i)))
+			onEnd(route, sent, w.send(node, route, fmt.Sprint(node.settings.Instance, "-", i)))
 		})
 	}
 	wg.Wait()
 }
 
-// ask sends one request to a node.
-func (w *saysWorld) ask(node *Edge, route, id string) got {
+// send sends one request to a node.
+func (w *scriptedCluster) send(node *Edge, route, id string) result {
 	begin := time.Now()
 	r, err := http.NewRequest(http.MethodPost, "http://"+node.settings.CallerAddress+"/"+route+"/x", strings.NewReader("body"))
 	if err != nil {
-		return got{}
+		return result{}
 	}
 	r.Host = "h"
 	r.Header.Set("Attempt-Id", id)
 	r.Header.Set("Authorization", "Bearer k")
 	r.Header.Set("Deadline-Ms", "2000")
-	session := xxhash.Sum64String(id) >> 1 // Each request has a session of its own, which spreads them over the engines.
+	session := xxhash.Sum64String(id) >> 1 // A session per request spreads them over the engines.
 	r.Header.Set("Token-Counts", "110,10")
 	r.Header.Set("Prompt-Prefix", fmt.Sprintf("%x:100,%x:10", session, session+1))
 	resp, err := http.DefaultClient.Do(r)
 	if err != nil {
-		return got{}
+		return result{}
 	}
 	defer resp.Body.Close()
 	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-		return got{}
+		return result{}
 	}
-	return got{status: resp.StatusCode, took: time.Since(begin), comeBack: resp.Header.Get("Retry-After")}
+	return result{status: resp.StatusCode, took: time.Since(begin), retryAfter: resp.Header.Get("Retry-After")}
 }
--- a/internal/edge/state.go
+++ b/internal/edge/state.go
@@ -8,12 +8,12 @@
 	"github.com/croftturn/croftturn/internal/entry"
 )
 
-// Ready reports whether this node takes callers.
+// Ready reports whether this node serves callers.
 func (e *Edge) Ready(now time.Time) bool { return e.dispatcher.Ready(now) == "" }
 
-// Entries returns the addresses that callers in a hall should use, of the nodes
-// that are alive and do not stop. A spoke knows its hubs, which take the callers; it
-// names itself where it hears none.
+// Entries returns the addresses that callers in a hall should use, of nodes that are alive and not
+// stopping. A spoke names its hubs, since these serve the callers, and names itself only if it
+// hears from no other node.
 func (e *Edge) Entries(now time.Time, hall string) []string {
 	var nodes []entry.Node
 	peers := e.gossip.Peers(now)
