--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -133,7 +133,7 @@
 		return nil, nil, &Refusal{Reason: NoRoute}
 	}
 	var team *routing.Team
-	if t.Keyed() && !route.Public {
+	if t.RequiresKey() && !route.Public {
 		if team = t.Team(r.Key); team == nil {
 			return nil, nil, &Refusal{Reason: UnknownKey}
 		}
@@ -162,7 +162,7 @@
 	defer d.active.Add(-1)
 	w := &walk{
 		d: d, req: r, route: route, team: team, answer: a, arrived: arrived, deadline: arrived.Add(patience(r, route)),
-		pool: route.Choose(r.ID), avoid: map[string]bool{}, lastEventID: r.LastEventID, limit: noLimit,
+		pool: route.ChoosePool(r.ID), avoid: map[string]bool{}, lastEventID: r.LastEventID, limit: noLimit,
 	}
 	w.fingerprint = fingerprintOf(r, w.teamName())
 	ctx, cancel := context.WithTimeout(ctx, w.deadline.Sub(clock.Now()))
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -185,8 +185,8 @@
 	return min(max(tier*routeTiers+min(max(r.Tier, 0), routeTiers-1), 0), maxUrgency)
 }
 
-// Keyed reports whether requests need a key.
-func (t *Table) Keyed() bool { return t.keyed }
+// RequiresKey reports whether requests need a key.
+func (t *Table) RequiresKey() bool { return t.keyed }
 
 // Pools returns all pools, in no order.
 func (t *Table) Pools() []*Pool { return slices.Collect(maps.Values(t.pools)) }
@@ -194,9 +194,9 @@
 // Pool returns a pool by name, or nil.
 func (t *Table) Pool(name string) *Pool { return t.pools[name] }
 
-// Choose returns the pool that serves a request, by the route's weights; the
+// ChoosePool returns the pool that serves a request, by the route's weights; the
 // same request id always gets the same pool.
-func (r *Route) Choose(requestID string) string {
+func (r *Route) ChoosePool(requestID string) string {
 	total := 0
 	for _, s := range r.Shares {
 		total += s.Weight
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -32,8 +32,8 @@
 	count := map[string]int{}
 	for i := range 10000 {
 		id := fmt.Sprint(i)
-		pool := r.Choose(id)
-		if pool != r.Choose(id) {
+		pool := r.ChoosePool(id)
+		if pool != r.ChoosePool(id) {
 			t.Fatal("a request goes two ways")
 		}
 		count[pool]++
