--- a/internal/routing/regions.go
+++ b/internal/routing/regions.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// Regions returns the regions in which a request may be served; everywhere says that no region is left out. Where the route and the team are
-// both bound, both bind.
+// Regions returns the regions in which a request may be served; everywhere reports that there is
+// no restriction. If both the route and the team are restricted, both restrictions apply.
 func Regions(r *Route, t *Team) (regions []string, everywhere bool) {
 	var team []string
 	if t != nil {
--- a/internal/routing/regions_test.go
+++ b/internal/routing/regions_test.go
@@ -7,14 +7,14 @@
 	"github.com/croftturn/croftturn/internal/routing"
 )
 
-// TestRegionsOfRouteAndTeamBothBind holds in which regions a request may be served.
+// TestRegionsOfRouteAndTeamBothBind checks in which regions a request may be served.
 func TestRegionsOfRouteAndTeamBothBind(t *testing.T) {
 	for _, test := range []struct {
 		name              string
 		route, team, want []string
 		everywhere        bool
 	}{
-		{"none bound", nil, nil, nil, true},
+		{"no restriction", nil, nil, nil, true},
 		{"route", []string{"a", "b"}, nil, []string{"a", "b"}, false},
 		{"team", nil, []string{"b"}, []string{"b"}, false},
 		{"both", []string{"a", "b"}, []string{"b", "c"}, []string{"b"}, false},
@@ -26,6 +26,6 @@
 		}
 	}
 	if _, everywhere := routing.Regions(&routing.Route{}, nil); !everywhere {
-		t.Error("a request without a team is bound")
+		t.Error("a request without a team on an unrestricted route is restricted")
 	}
 }
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,6 +1,6 @@
-// Package routing holds the configuration that requests are routed by: which
-// route a host and path fall under, which pools serve it, and which team holds a
-// key. A Table is immutable; a new version of the configuration is a new Table.
+// Package routing holds the configuration by which requests are routed: which route matches a host
+// and path, which pools serve it, and which team owns a key. A Table is immutable; each new
+// version of the configuration is a new Table.
 package routing
 
 import (
@@ -22,23 +22,24 @@
 	// Unsafe requests run at most once.
 	Unsafe
 
-	// Stream answers with events; it runs at most once unless it may be resumed.
+	// Stream requests are answered with a stream of events. They run at most once unless they are
+	// resumable.
 	Stream
 )
 
 const (
-	// routeTiers is how many tiers of routes are told apart within a tier of teams.
+	// routeTiers is how many route tiers are distinguished within one team tier.
 	routeTiers = 3
 
-	// maxUrgency is the least urgent place that engines tell apart.
+	// maxUrgency is the least urgent value that engines distinguish.
 	maxUrgency = 9
 )
 
 type (
-	// Kind says how the requests of a route may be treated.
+	// Kind says whether the requests of a route may be repeated, and whether they are streams.
 	Kind int
 
-	// Route says how requests with a host and a path prefix are served.
+	// Route says how requests for a host and path prefix are served.
 	Route struct {
 		Name       string
 		Host       string
@@ -46,47 +47,47 @@
 		Kind       Kind
 		Timeout    time.Duration // Timeout is the longest that a request may be held.
 		Target     time.Duration // Target is the time to the answer, or to a stream's first event, that counts as on time.
-		MaxGap     time.Duration // MaxGap is the longest pause between events at which a stream is on time; 0 if not given.
-		Tier       int           // Tier orders routes; 0 is the highest.
+		MaxGap     time.Duration // MaxGap is the longest pause between a stream's events that counts as on time; 0 if not set.
+		Tier       int           // Tier is the route's priority; 0 is the highest.
 		MaxEngines int           // MaxEngines is the most engines that one request may be sent to.
-		Public     bool          // Public routes need no key.
-		Resumable  bool          // Resumable streams may go on at another engine.
+		Public     bool          // Public routes require no key.
+		Resumable  bool          // Resumable streams may continue on another engine.
 		Shares     []Share       // Shares are the pools that serve the route.
-		Regions    []string      // Regions are where requests may be served; anywhere if there are none.
+		Regions    []string      // Regions is where requests may be served; empty means anywhere.
 	}
 
-	// Share is one pool's part of a route's requests.
+	// Share is the weight of one pool in a route's traffic split.
 	Share struct {
 		Pool   string
 		Weight int
 	}
 
-	// Pool is a group of engines, or of backend servers, that do the same work.
+	// Pool is a group of engines or backend servers that do the same work.
 	Pool struct {
 		Name     string
-		MaxConns int             // MaxConns is the most connections one engine takes, from all nodes together.
+		MaxConns int             // MaxConns is the most connections that one engine accepts from all nodes together.
 		Model    *Model          // Model is nil for plain backend servers.
-		ColdRate float64         // ColdRate is how many requests a second an engine bears while it is cold; 0 if any number.
+		ColdRate float64         // ColdRate is how many requests a second a cold engine can take; 0 for no limit.
 		Scaling  *scaling.Limits // Scaling is nil where engines can't be ordered.
 	}
 
-	// Model says what is known of the model engines of a pool.
+	// Model describes the model engines of a pool.
 	Model struct {
-		Slots          int // Slots is how many requests an engine works on at once.
-		CacheTokens    int // CacheTokens is an engine's room for running requests and cached prompt parts.
-		TokensPerEvent int // TokensPerEvent is how many tokens one event of a stream holds.
+		Slots          int // Slots is how many requests an engine runs at once.
+		CacheTokens    int // CacheTokens is an engine's capacity for running requests and cached prompt parts.
+		TokensPerEvent int // TokensPerEvent is how many tokens one stream event holds.
 	}
 
 	// Team is a customer.
 	Team struct {
 		Name string
 		Keys []string
-		Tier *int // Tier goes before that of the route where it is set.
+		Tier *int // Tier overrides the route's tier if set.
 
-		Regions []string // Regions are where its requests may be served; anywhere if there are none.
+		Regions []string // Regions is where its requests may be served; empty means anywhere.
 	}
 
-	// Limits bound what a caller may send.
+	// Limits bounds what a caller may send.
 	Limits struct {
 		MaxBodyBytes int64
 	}
@@ -96,12 +97,12 @@
 		Version int
 		Limits  Limits
 
-		hosts map[string][]*Route // each host's routes, longest prefix first
-		pools map[string]*Pool
-		teams map[string]*Team // by key
-		low   map[string]int   // low is, by pool, the lowest tier of the routes that it serves.
-		last  map[string]int   // last is, by pool, the last place that a request for it has.
-		keyed bool
+		hosts       map[string][]*Route // routes by host, longest prefix first
+		pools       map[string]*Pool
+		teams       map[string]*Team // by key
+		lowestTier  map[string]int   // lowest tier of the routes served by each pool
+		lastUrgency map[string]int   // last urgency of requests for each pool
+		requiresKey bool
 	}
 )
 
@@ -110,11 +111,11 @@
 	return r.Kind == Safe || r.Kind == Stream && r.Resumable
 }
 
-// NewTable returns the table of one version of the configuration.
+// NewTable builds the Table of one version of the configuration.
 func NewTable(version int, routes []*Route, pools []*Pool, teams []*Team, limits Limits) *Table {
 	t := &Table{
-		Version: version, Limits: limits, keyed: len(teams) > 0,
-		hosts: map[string][]*Route{}, pools: map[string]*Pool{}, teams: map[string]*Team{}, low: map[string]int{}, last: map[string]int{},
+		Version: version, Limits: limits, requiresKey: len(teams) > 0,
+		hosts: map[string][]*Route{}, pools: map[string]*Pool{}, teams: map[string]*Team{}, lowestTier: map[string]int{}, lastUrgency: map[string]int{},
 	}
 	for _, r := range routes {
 		host := strings.ToLower(r.Host)
@@ -137,14 +138,14 @@
 	}
 	for _, r := range routes {
 		for _, s := range r.Shares {
-			t.low[s.Pool] = max(t.low[s.Pool], r.Tier)
-			t.last[s.Pool] = max(t.last[s.Pool], urgency(max(r.Tier, lowest), r))
+			t.lowestTier[s.Pool] = max(t.lowestTier[s.Pool], r.Tier)
+			t.lastUrgency[s.Pool] = max(t.lastUrgency[s.Pool], urgency(max(r.Tier, lowest), r))
 		}
 	}
 	return t
 }
 
-// Route returns the route with the longest prefix of the path, or nil.
+// Route returns the route with the longest matching path prefix, or nil.
 func (t *Table) Route(host, path string) *Route {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
@@ -157,10 +158,10 @@
 	return nil
 }
 
-// Team returns the team that holds a key, or nil.
+// Team returns the team that owns a key, or nil.
 func (t *Table) Team(key string) *Team { return t.teams[key] }
 
-// Tier returns a request's tier: the team's where it has one, else the route's.
+// Tier returns the tier of a request: the team's if it is set, else the route's.
 func Tier(r *Route, t *Team) int {
 	if t != nil && t.Tier != nil {
 		return *t.Tier
@@ -168,34 +169,35 @@
 	return r.Tier
 }
 
-// Urgency returns a request's place in the order of all requests, 0 first: by
-// tier, and within a tier by that of the route, so that a team's own requests
-// keep the order of their routes where the team has a tier.
+// Urgency returns the rank of a request among all requests, 0 first. Requests are ranked by tier
+// and, within a tier, by the tier of the route, so that the requests of a team with a tier of its
+// own keep the order of their routes.
 func Urgency(r *Route, t *Team) int { return urgency(Tier(r, t), r) }
 
-// LastUrgency returns the last place that requests for a pool have: that of its lowest
-// route for the lowest team.
-func (t *Table) LastUrgency(pool string) int { return t.last[pool] }
+// LastUrgency returns the last rank of requests for a pool: that of its lowest route for the
+// lowest team.
+func (t *Table) LastUrgency(pool string) int { return t.lastUrgency[pool] }
 
 // LowestTier returns the lowest tier of the routes that a pool serves.
-func (t *Table) LowestTier(pool string) int { return t.low[pool] }
+func (t *Table) LowestTier(pool string) int { return t.lowestTier[pool] }
 
-// urgency returns the place of a route's requests within a tier.
+// urgency returns the rank of a route's requests within a tier.
 func urgency(tier int, r *Route) int {
 	return min(max(tier*routeTiers+min(max(r.Tier, 0), routeTiers-1), 0), maxUrgency)
 }
 
-// RequiresKey reports whether requests need a key.
-func (t *Table) RequiresKey() bool { return t.keyed }
+// RequiresKey reports whether the configuration has teams, so that requests need a key unless
+// their route is public.
+func (t *Table) RequiresKey() bool { return t.requiresKey }
 
-// Pools returns all pools, in no order.
+// Pools returns all pools in no particular order.
 func (t *Table) Pools() []*Pool { return slices.Collect(maps.Values(t.pools)) }
 
 // Pool returns a pool by name, or nil.
 func (t *Table) Pool(name string) *Pool { return t.pools[name] }
 
-// ChoosePool returns the pool that serves a request, by the route's weights; the
-// same request id always gets the same pool.
+// ChoosePool returns the pool that serves a request, by weight; the same request ID always maps to
+// the same pool.
 func (r *Route) ChoosePool(requestID string) string {
 	total := 0
 	for _, s := range r.Shares {
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -7,7 +7,7 @@
 	"github.com/croftturn/croftturn/internal/routing"
 )
 
-// TestLongestPrefixWins holds how routes are found.
+// TestLongestPrefixWins checks route matching by host and path.
 func TestLongestPrefixWins(t *testing.T) {
 	table := routing.NewTable(1, []*routing.Route{
 		{Name: "short", Host: "A.example", PathPrefix: "/a/"}, {Name: "long", Host: "a.example", PathPrefix: "/a/b/"}, {Name: "other", Host: "b.example", PathPrefix: "/"},
@@ -25,8 +25,8 @@
 	}
 }
 
-// TestSharesFollowWeights holds that requests are split by weight, and that one
-// request always goes the same way.
+// TestSharesFollowWeights checks that requests are split by weight, and that a request ID always
+// maps to the same pool.
 func TestSharesFollowWeights(t *testing.T) {
 	r := &routing.Route{Shares: []routing.Share{{Pool: "a", Weight: 90}, {Pool: "b", Weight: 10}, {Pool: "never", Weight: 0}}}
 	count := map[string]int{}
@@ -34,7 +34,7 @@
 		id := fmt.Sprint(i)
 		pool := r.ChoosePool(id)
 		if pool != r.ChoosePool(id) {
-			t.Fatal("a request goes two ways")
+			t.Fatal("one request ID maps to two pools")
 		}
 		count[pool]++
 	}
@@ -43,7 +43,7 @@
 	}
 }
 
-// TestUrgencyKeepsRoutesInOrderWithinATier holds the order of requests.
+// TestUrgencyKeepsRoutesInOrderWithinATier checks the order of urgency over team and route tiers.
 func TestUrgencyKeepsRoutesInOrderWithinATier(t *testing.T) {
 	tier := func(n int) *routing.Team { return &routing.Team{Tier: &n} }
 	last := -1
