--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -65,7 +65,7 @@
 	near := filter(ready, func(n Node) bool { return n.Hall == hall })
 	switch {
 	case len(near) >= enoughNearby:
-		return addresses(thin(Taking(near), draw))
+		return addresses(thin(Points(near), draw))
 	case len(ready) > 0:
 		return addresses(ready)
 	}
@@ -83,11 +83,11 @@
 	return out
 }
 
-// Taking returns the nodes of a hall that take its callers: the first in order, until
+// Points returns the nodes of a hall that take its callers: the first in order, until
 // they are enough for the requests that the hall has.
-func Taking(near []Node) []Node {
+func Points(near []Node) []Node {
 	rate := totalRate(near)
-	near = BySize(near)
+	near = SortedBySize(near)
 	planned := 0.0
 	for i, n := range near {
 		if i >= leastChosen && planned >= rate {
@@ -107,9 +107,9 @@
 	return rate
 }
 
-// BySize returns the nodes with the largest first, those of one size by hash, so that
+// SortedBySize returns the nodes with the largest first, those of one size by hash, so that
 // all nodes choose the same.
-func BySize(nodes []Node) []Node {
+func SortedBySize(nodes []Node) []Node {
 	out := append([]Node(nil), nodes...)
 	sort.Slice(out, func(i, j int) bool {
 		if out[i].cores() != out[j].cores() {
@@ -120,7 +120,7 @@
 	return out
 }
 
-// SizeKey returns a text that sorts as BySize orders the node, by thousandths of a core.
+// SizeKey returns a text that sorts as SortedBySize orders the node, by thousandths of a core.
 func (n Node) SizeKey() string {
 	milli := uint32(min(n.cores()*1000, math.MaxUint32))
 	return fmt.Sprintf("%08x-%016x", math.MaxUint32-milli, xxhash.Sum64String(n.Name))
--- a/internal/gossip/hubs.go
+++ b/internal/gossip/hubs.go
@@ -202,7 +202,7 @@
 			nodes = append(nodes, p.Entry())
 		}
 	}
-	return names(entry.BySize(nodes)[:min(len(nodes), firstHubs<<doubled)])
+	return names(entry.SortedBySize(nodes)[:min(len(nodes), firstHubs<<doubled)])
 }
 
 // chooseHubs returns the nodes of this node's hall that should be its hubs: those that take
@@ -227,7 +227,7 @@
 	if len(ready) < firstHubs {
 		ready = all
 	}
-	return names(entry.Taking(ready))
+	return names(entry.Points(ready))
 }
 
 // knownChosen returns how others reach the hubs that this node wants in its hall.
