--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,7 +1,7 @@
-// Package entry chooses the entry points that callers are told to use. Where a
-// hall has many nodes a few take its callers, as many as its requests need: these
-// know most of the hall's work themselves and keep connections to engines in use,
-// and the others have little to tell. Larger nodes come first and get more callers.
+// Package entry selects the entry points: the nodes whose addresses callers are given. In a hall
+// with many nodes only as many serve callers as its request rate needs. These nodes then know most
+// of the hall's load themselves and keep their connections to engines busy, while the others have
+// little to report. Larger nodes are selected first and get more callers.
 package entry
 
 import (
@@ -13,42 +13,41 @@
 )
 
 const (
-	// enoughNearby is how many ready nodes of a caller's hall make those of other
-	// halls unnecessary as its entry points.
-	enoughNearby = 2
-
-	// leastChosen bounds from below how many nodes of a hall take its callers: three still leave
-	// two when one dies. Beyond it only the load counts. Those that take callers tell each
-	// other their work, so that a share of the nodes would have their messages grow with the
-	// square of the nodes.
-	leastChosen = 3
-
-	// mostAddresses is how many addresses a caller looks at.
-	mostAddresses = 64
-
-	// plannedUse is the share of a node's processor that its requests should take,
-	// so that a burst of three times as many finds room.
-	plannedUse = 0.3
-
-	// costOfRequest is the processor time of a request, in seconds: about twice the
-	// 1.2 ms a request measured with 12 requests a second at a node.
-	costOfRequest = 0.0025
+	// minLocalNodes is how many ready nodes in the caller's hall make entry points in other halls
+	// unnecessary.
+	minLocalNodes = 2
+
+	// minEntryNodes is the least number of nodes of a hall that serve callers: with three, two are
+	// left when one fails. Above it only the request rate decides. Nodes that serve callers report
+	// their load to each other, so if a fixed share of the nodes served callers, messages would
+	// grow with the square of the number of nodes.
+	minEntryNodes = 3
+
+	// maxAddresses is how many addresses a caller reads.
+	maxAddresses = 64
+
+	// targetUtilization is the share of a node's processor that requests are planned to use; it
+	// leaves room for bursts of three times the rate.
+	targetUtilization = 0.3
+
+	// requestCPUSeconds is the processor time planned per request: about twice the 1.2 ms measured
+	// at 12 requests a second on one node.
+	requestCPUSeconds = 0.0025
 )
 
-// Node is a node that may take callers.
+// Node is a node that may serve callers.
 type Node struct {
 	Name    string
 	Address string
 	Hall    string
 	Ready   bool
-	Cores   float64 // Cores is the processor that it may use; 0 counts as one.
-	Rate    float64 // Rate is how many requests a second it serves.
+	Cores   float64 // Cores is the processor capacity the node may use; 0 counts as 1.
+	Rate    float64 // Rate is the number of requests a second that it serves.
 }
 
-// planned returns how many requests a second the node should get.
-func (n Node) planned() float64 { return n.cores() * plannedUse / costOfRequest }
+// plannedRate returns how many requests a second the node is planned to serve.
+func (n Node) plannedRate() float64 { return n.cores() * targetUtilization / requestCPUSeconds }
 
-// cores returns the node's processor.
 func (n Node) cores() float64 {
 	if n.Cores <= 0 {
 		return 1
@@ -56,23 +55,22 @@
 	return n.Cores
 }
 
-// Choose returns the addresses for a caller in a hall; draw returns numbers from 0
-// up to 1 by chance. Where too few nodes of the hall are ready, all that are ready
-// are named. Where none is, as when the platform's store is away, all are: callers
-// come back to them, and need not ask again first.
+// Choose returns the addresses to give to a caller in a hall; draw returns random numbers from 0
+// up to 1. If too few nodes of the hall are ready, it returns all ready nodes of all halls. If
+// none is ready, as when the platform's store is unavailable, it returns all nodes: callers can
+// then retry there without asking for addresses again.
 func Choose(hall string, nodes []Node, draw func() float64) []string {
 	ready := filter(nodes, func(n Node) bool { return n.Ready })
-	near := filter(ready, func(n Node) bool { return n.Hall == hall })
+	local := filter(ready, func(n Node) bool { return n.Hall == hall })
 	switch {
-	case len(near) >= enoughNearby:
-		return addresses(thin(Points(near), draw))
+	case len(local) >= minLocalNodes:
+		return addresses(sampleBySize(Points(local), draw))
 	case len(ready) > 0:
 		return addresses(ready)
 	}
 	return addresses(nodes)
 }
 
-// filter returns the nodes that a condition holds for.
 func filter(nodes []Node, holds func(Node) bool) []Node {
 	var out []Node
 	for _, n := range nodes {
@@ -83,22 +81,21 @@
 	return out
 }
 
-// Points returns the nodes of a hall that take its callers: the first in order, until
-// they are enough for the requests that the hall has.
-func Points(near []Node) []Node {
-	rate := totalRate(near)
-	near = SortedBySize(near)
+// Points returns the entry points of a hall: the first nodes by size, at least minEntryNodes,
+// whose planned rates add up to the hall's request rate.
+func Points(local []Node) []Node {
+	rate := totalRate(local)
+	local = SortedBySize(local)
 	planned := 0.0
-	for i, n := range near {
-		if i >= leastChosen && planned >= rate {
-			return near[:i]
+	for i, n := range local {
+		if i >= minEntryNodes && planned >= rate {
+			return local[:i]
 		}
-		planned += n.planned()
+		planned += n.plannedRate()
 	}
-	return near
+	return local
 }
 
-// totalRate returns how many requests a second some nodes serve together.
 func totalRate(nodes []Node) float64 {
 	rate := 0.0
 	for _, n := range nodes {
@@ -107,8 +104,8 @@
 	return rate
 }
 
-// SortedBySize returns the nodes with the largest first, those of one size by hash, so that
-// all nodes choose the same.
+// SortedBySize returns the nodes with the largest first. Ties are broken by a hash of the name, so
+// that all nodes use the same order.
 func SortedBySize(nodes []Node) []Node {
 	out := append([]Node(nil), nodes...)
 	sort.Slice(out, func(i, j int) bool {
@@ -120,29 +117,30 @@
 	return out
 }
 
-// SizeKey returns a text that sorts as SortedBySize orders the node, by thousandths of a core.
+// SizeKey returns a string that sorts in the order of SortedBySize, at a resolution of a
+// thousandth of a core.
 func (n Node) SizeKey() string {
 	milli := uint32(min(n.cores()*1000, math.MaxUint32))
 	return fmt.Sprintf("%08x-%016x", math.MaxUint32-milli, xxhash.Sum64String(n.Name))
 }
 
-// thin leaves smaller nodes out of some answers, so that each node gets callers by its
-// size; the first enoughNearby are always named.
-func thin(chosen []Node, draw func() float64) []Node {
+// sampleBySize leaves smaller nodes out of some answers, so that each node gets callers in
+// proportion to its size; the first minLocalNodes are always kept.
+func sampleBySize(chosen []Node, draw func() float64) []Node {
 	largest := chosen[0].cores()
 	var out []Node
 	for i, n := range chosen {
-		if i < enoughNearby || draw() < n.cores()/largest {
+		if i < minLocalNodes || draw() < n.cores()/largest {
 			out = append(out, n)
 		}
 	}
 	return out
 }
 
-// addresses returns the addresses of nodes, as many as callers look at.
+// addresses returns the addresses of at most maxAddresses nodes.
 func addresses(nodes []Node) []string {
 	var out []string
-	for _, n := range nodes[:min(len(nodes), mostAddresses)] {
+	for _, n := range nodes[:min(len(nodes), maxAddresses)] {
 		out = append(out, n.Address)
 	}
 	return out
