--- a/internal/header/header.go
+++ b/internal/header/header.go
@@ -1,5 +1,5 @@
-// Package header reads and passes on the headers of messages: it tells those that go on to
-// the next hop from those that concern one connection only, and finds a caller's key.
+// Package header handles HTTP headers: it removes the hop-by-hop ones before a message is
+// forwarded, and reads the caller's key.
 package header
 
 import (
@@ -8,15 +8,15 @@
 	"strings"
 )
 
-// hop names the headers that concern one connection only. The length of a body is
-// among them: each hop states the length of what it sends.
-var hop = []string{
+// hopByHop names the headers that concern one connection only. Content-Length is among them: each
+// hop states the length of the body it sends.
+var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 	"Content-Length", "Expect",
 }
 
-// EndToEnd returns a copy of headers without those that concern one connection only:
-// the known ones and those that the message itself names in Connection.
+// EndToEnd returns a copy of the headers without the hop-by-hop ones: the known ones and those
+// that the message names in Connection.
 func EndToEnd(h http.Header) http.Header {
 	out := h.Clone()
 	for _, list := range h.Values("Connection") {
@@ -24,13 +24,13 @@
 			out.Del(textproto.TrimString(name))
 		}
 	}
-	for _, name := range hop {
+	for _, name := range hopByHop {
 		out.Del(name)
 	}
 	return out
 }
 
-// Bearer returns the key that a caller shows, or nothing.
+// Bearer returns the bearer token of a request, or an empty string.
 func Bearer(h http.Header) string {
 	key, ok := strings.CutPrefix(h.Get("Authorization"), "Bearer ")
 	if !ok {
--- a/internal/header/header_test.go
+++ b/internal/header/header_test.go
@@ -7,7 +7,7 @@
 	"github.com/croftturn/croftturn/internal/header"
 )
 
-// TestEndToEnd holds which headers go on, and that the message itself stays as it is.
+// TestEndToEnd checks which headers are kept, and that the original message is not modified.
 func TestEndToEnd(t *testing.T) {
 	h := http.Header{
 		"Connection": {"close, X-Own", " x-other"}, "X-Own": {"1"}, "X-Other": {"1"}, "Keep-Alive": {"timeout=5"}, "Te": {"trailers"},
@@ -19,6 +19,6 @@
 		t.Errorf("got %v", got)
 	}
 	if len(h) != before {
-		t.Error("the message itself was changed")
+		t.Error("the original message was modified")
 	}
 }
