--- a/internal/gossip/hubs.go
+++ b/internal/gossip/hubs.go
@@ -202,7 +202,7 @@
 			nodes = append(nodes, p.Entry())
 		}
 	}
-	return nodeNames(entry.BySize(nodes)[:min(len(nodes), initialHubs<<doubled)])
+	return nodeNames(entry.SortedBySize(nodes)[:min(len(nodes), initialHubs<<doubled)])
 }
 
 // chooseHubs returns the nodes of this node's hall that should be its hubs: those that take its
@@ -227,7 +227,7 @@
 	if len(ready) < initialHubs {
 		ready = all
 	}
-	return nodeNames(entry.Taking(ready))
+	return nodeNames(entry.Points(ready))
 }
 
 // chosenHubInfo returns the hubs that this node chose for its hall, with their addresses.
