--- a/internal/edge/crash_rig_test.go
+++ b/internal/edge/crash_rig_test.go
@@ -281,8 +281,8 @@
 }
 
 // load sends n requests at an interval, with the body that the function body returns for each
-// number, calls also with each number, and returns how many requests were served.
-func (w *crashCluster) load(n int, every time.Duration, body func(i int) string, also func(i int)) (served int64) {
+// number, calls onEach with each number, and returns how many requests were served.
+func (w *crashCluster) load(n int, every time.Duration, body func(i int) string, onEach func(i int)) (served int64) {
 	var wg sync.WaitGroup
 	var ok atomic.Int64
 	tick := time.NewTicker(every)
@@ -294,7 +294,7 @@
 				ok.Add(1)
 			}
 		})
-		wg.Go(func() { also(i) })
+		wg.Go(func() { onEach(i) })
 	}
 	wg.Wait()
 	return ok.Load()
--- a/internal/edge/crash_test.go
+++ b/internal/edge/crash_test.go
@@ -169,10 +169,10 @@
 			w.post(i/10%len(w.nodes), fmt.Sprint("crash-", i), fmt.Sprint(crashingBody, i/10%suspects))
 		}
 	})
-	ends := len(w.crashTimes())
-	t.Logf("%d of %d others served, %d engines crashed", served, others, ends)
-	if served < others*95/100 || ends > suspects*4 {
-		t.Errorf("%d of %d others served and %d engines crashed; want at least 95%%, and at most 4 crashes for each of %d requests", served, others, ends, suspects)
+	crashes := len(w.crashTimes())
+	t.Logf("%d of %d others served, %d engines crashed", served, others, crashes)
+	if served < others*95/100 || crashes > suspects*4 {
+		t.Errorf("%d of %d others served and %d engines crashed; want at least 95%%, and at most 4 crashes for each of %d requests", served, others, crashes, suspects)
 	}
 }
 
--- a/internal/edge/reading.go
+++ b/internal/edge/reading.go
@@ -32,7 +32,7 @@
 	peersWait    = 1500 * time.Millisecond
 
 	// initialReadOdds is such that one in this many nodes reads at first if a node has heard from
-	// no others. The odds are halved at every oddsHalvingInterval, so that some nodes read soon
+	// no others. The number is halved at every oddsHalvingInterval, so that some nodes read soon
 	// however many there are, and not all at once.
 	initialReadOdds     = 1024
 	oddsHalvingInterval = 500 * time.Millisecond
@@ -105,8 +105,9 @@
 // first of the nodes that are alive and can read. A node that hears from no other always reads.
 func (e *Edge) shouldRead(now time.Time) bool { return e.shouldReadAs(now, e.settings.Instance) }
 
-// awaitRegister waits until this node knows the others from the register: a spoke gets the engines
-// from its hubs instead of reading them. It is called after the store's first answer.
+// awaitRegister waits until this node knows the others from the register, at most until
+// configOnlyTime after the start: a spoke gets the engines from its hubs instead of reading them.
+// It is called after the store's first answer.
 func (e *Edge) awaitRegister(ctx context.Context) {
 	for ctx.Err() == nil && !e.register.Read() && clock.Since(e.startedAt) <= configOnlyTime {
 		pause.For(ctx, proofPollInterval)
@@ -114,8 +115,8 @@
 	e.gossip.Settle(clock.Now())
 }
 
-// awaitAnswer waits for the store's first answer since the start, for at most configOnlyTime;
-// after that each table is read regardless. It does not wait at the first start of the whole
+// awaitAnswer waits for the store's first answer, at most until configOnlyTime after the start;
+// from then on each table is read regardless. It does not wait at the first start of the whole
 // system, when the register is read first.
 func (e *Edge) awaitAnswer(ctx context.Context) {
 	for ctx.Err() == nil {
