--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -18,16 +18,16 @@
 )
 
 const (
-	// unsettledMost bounds how long after the store's return an engine without entry
+	// maxMissingGrace bounds how long after the store's return an engine without entry
 	// is still used: engines write their entries again within two seconds.
-	unsettledMost = 1800 * time.Millisecond
+	maxMissingGrace = 1800 * time.Millisecond
 
-	// linesMost is how many engines taken at once are logged one by one. At a start there are
+	// maxLogLines is how many engines taken at once are logged one by one. At a start there are
 	// some hundred, and as many nodes that take them.
-	linesMost = 20
+	maxLogLines = 20
 
-	// unsettledShare of the time in which new work must stop is at most used for that.
-	unsettledShare = 0.9
+	// missingGraceShare of the time in which new work must stop is at most used for that.
+	missingGraceShare = 0.9
 )
 
 type (
@@ -49,58 +49,58 @@
 		engines Engines
 		log     *slog.Logger
 
-		unsettledFor time.Duration // unsettledFor is how long an engine without entry is used after the store's return.
+		missingGrace time.Duration // unsettledFor is how long an engine without entry is used after the store's return.
 
-		mu      sync.Mutex
-		lostAt  time.Time              // lostAt is when the store last could not be called.
-		missing map[string]time.Time   // missing holds engines without entry, and when they are dropped.
-		known   map[string]incarnation // known holds the present incarnation of all engines that were ever known.
-		said    news.List              // said holds the engines with an entry that said in an answer that they leave.
-		refused int64                  // refused counts the changes by which an entry could not be understood.
+		mu          sync.Mutex
+		storeLostAt time.Time              // lostAt is when the store last could not be called.
+		dropAt      map[string]time.Time   // missing holds engines without entry, and when they are dropped.
+		known       map[string]incarnation // known holds the present incarnation of all engines that were ever known.
+		leaving     news.List              // said holds the engines with an entry that said in an answer that they leave.
+		refused     int64                  // refused counts the changes by which an entry could not be understood.
 	}
 
 	// incarnation is one of an engine's, from its start.
 	incarnation struct {
-		born     int64 // born is what the engine says of its start; 0 if nothing.
-		since    int64 // since is the version of the entry by which it was known first.
-		draining bool  // draining says that it once said that it leaves.
+		born         int64 // born is what the engine says of its start; 0 if nothing.
+		firstVersion int64 // since is the version of the entry by which it was known first.
+		draining     bool  // draining says that it once said that it leaves.
 
-		saidAt time.Time // saidAt is when this node learned that an answer of it said so; zero if none did.
+		learnedAt time.Time // saidAt is when this node learned that an answer of it said so; zero if none did.
 	}
 )
 
-// errNotBorn says that an entry lacks what the engine said before.
-var errNotBorn = errors.New("the entry no longer tells of the engine's start")
+// errStartMissing says that an entry lacks what the engine said before.
+var errStartMissing = errors.New("the entry no longer tells of the engine's start")
 
 // New returns a discovery that tells engines to a placement; new work at an engine
 // that left must stop within drain.
 func New(decode Decode, engines Engines, drain time.Duration, log *slog.Logger) *Discovery {
-	unsettled := min(unsettledMost, time.Duration(unsettledShare*float64(drain)))
-	return &Discovery{decode: decode, engines: engines, log: log, unsettledFor: unsettled, missing: map[string]time.Time{}, known: map[string]incarnation{}}
+	grace := min(maxMissingGrace, time.Duration(missingGraceShare*float64(drain)))
+	return &Discovery{decode: decode, engines: engines, log: log, missingGrace: grace, dropAt: map[string]time.Time{}, known: map[string]incarnation{}}
 }
 
 // Lost records that the store could not be called at a moment.
-func (d *Discovery) Lost(at time.Time) {
+func (d *Discovery) StoreUnavailable(at time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if at.After(d.lostAt) {
-		d.lostAt = at
+	if at.After(d.storeLostAt) {
+		d.storeLostAt = at
 	}
 }
 
 // Take takes changed entries; it is a feed.Consumer.
-func (d *Discovery) Take(now time.Time, rows []feed.Row) {
-	each := len(rows) <= linesMost
+func (d *Discovery) Apply(now time.Time, rows []feed.Row) {
+	logEach := len(rows) <= maxLogLines
 	taken, draining, refused := 0, 0, 0
 	for _, r := range rows {
 		if r.Deleted {
-			d.miss(now, r.Key)
+			d.entryDeleted(now, r.Key)
 			continue
 		}
-		leaves, err := d.takeEntry(now, r, each)
+		leaves, err := d.applyEntry(now, r, logEach)
 		if err != nil {
 			refused++
-			d.refuse(r.Key, err, refused <= linesMost)
+			d.rejectEntry(r.Key, err, refused <= maxLogLines)
 			continue
 		}
 		taken++
@@ -108,37 +108,37 @@
 			draining++
 		}
 	}
-	if !each {
+	if !logEach {
 		d.log.Info("engines", "taken", taken, "draining", draining, "refused", refused, "rows", len(rows))
 	}
 }
 
-// takeEntry takes one entry and reports whether the engine leaves.
-func (d *Discovery) takeEntry(now time.Time, r feed.Row, log bool) (draining bool, err error) {
+// applyEntry takes one entry and reports whether the engine leaves.
+func (d *Discovery) applyEntry(now time.Time, r feed.Row, log bool) (draining bool, err error) {
 	e, err := d.decode(now, r)
 	if err != nil {
 		return false, err
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	present, known := d.known[e.ID]
-	if known && present.born != 0 && e.Born == 0 {
-		return false, errNotBorn
+	current, known := d.known[e.ID]
+	if known && current.born != 0 && e.Born == 0 {
+		return false, errStartMissing
 	}
-	if known && present.born != e.Born {
-		d.log.Info("engine started again", "engine", e.ID, "born", e.Born, "before", present.born, "version", r.Version)
+	if known && current.born != e.Born {
+		d.log.Info("engine started again", "engine", e.ID, "born", e.Born, "before", current.born, "version", r.Version)
 	}
-	if !known || present.born != e.Born {
-		present = incarnation{born: e.Born, since: r.Version}
-		d.said.Remove(e.ID)
+	if !known || current.born != e.Born {
+		current = incarnation{born: e.Born, firstVersion: r.Version}
+		d.leaving.Remove(e.ID)
 	}
-	present.draining = present.draining || e.Draining
-	d.known[e.ID] = present
-	if !present.saidAt.IsZero() {
-		d.said.Add(e.ID)
+	current.draining = current.draining || e.Draining
+	d.known[e.ID] = current
+	if !current.learnedAt.IsZero() {
+		d.leaving.Add(e.ID)
 	}
-	e.Draining, e.Since = present.draining, present.since
-	delete(d.missing, e.ID)
+	e.Draining, e.Since = current.draining, current.firstVersion
+	delete(d.dropAt, e.ID)
 	if log {
 		d.log.Info("engine", "engine", e.ID, "pool", e.Pool, "address", e.Address, "hall", e.Hall, "draining", e.Draining, "version", r.Version)
 	}
@@ -146,12 +146,12 @@
 	return e.Draining, nil
 }
 
-// refuse gives an engine no new work whose entry can't be understood.
-func (d *Discovery) refuse(id string, cause error, log bool) {
+// rejectEntry gives an engine no new work whose entry can't be understood.
+func (d *Discovery) rejectEntry(id string, cause error, log bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.refused++
-	delete(d.missing, id)
+	delete(d.dropAt, id)
 	d.engines.Remove(id)
 	if log {
 		d.log.Error("entry not understood; the engine gets no work", "engine", id, "error", cause.Error())
@@ -165,17 +165,17 @@
 	return d.refused
 }
 
-// miss drops an engine without entry: at once, or after a while where the store
+// entryDeleted drops an engine without entry: at once, or after a while where the store
 // was away.
-func (d *Discovery) miss(now time.Time, id string) {
+func (d *Discovery) entryDeleted(now time.Time, id string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	settled := d.lostAt.IsZero() || now.Sub(d.lostAt) > d.unsettledFor
-	if _, known := d.missing[id]; !settled && !known {
-		d.missing[id] = now.Add(d.unsettledFor)
-		time.AfterFunc(d.unsettledFor, func() { d.Expire(clock.Now()) })
+	storeStable := d.storeLostAt.IsZero() || now.Sub(d.storeLostAt) > d.missingGrace
+	if _, known := d.dropAt[id]; !storeStable && !known {
+		d.dropAt[id] = now.Add(d.missingGrace)
+		time.AfterFunc(d.missingGrace, func() { d.Expire(clock.Now()) })
 	}
-	if settled {
+	if storeStable {
 		d.remove(id, "its entry is gone")
 	}
 }
@@ -184,9 +184,9 @@
 func (d *Discovery) Expire(now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for id, at := range d.missing {
+	for id, at := range d.dropAt {
 		if !now.Before(at) {
-			delete(d.missing, id)
+			delete(d.dropAt, id)
 			d.remove(id, "its entry did not come back after the store was away")
 		}
 	}
@@ -196,6 +196,6 @@
 // back meanwhile is taken after it.
 func (d *Discovery) remove(id, reason string) {
 	d.log.Info("engine removed", "engine", id, "reason", reason)
-	d.said.Remove(id)
+	d.leaving.Remove(id)
 	d.engines.Remove(id)
 }
--- a/internal/discovery/leaving_test.go
+++ b/internal/discovery/leaving_test.go
@@ -10,9 +10,9 @@
 )
 
 // TestWhatAnAnswerSaysOfLeaving holds what keeps and what ends an engine's word that it leaves, and who believes a peer's.
-func TestWhatAnAnswerSaysOfLeaving(t *testing.T) {
+func TestLeavingReportedInAnswers(t *testing.T) {
 	gone := feed.Row{Key: "a", Version: 2, Deleted: true}
-	told := func(born int64) []discovery.Told { return []discovery.Told{{Engine: "a", Born: born}} }
+	told := func(born int64) []discovery.GossipEntry { return []discovery.GossipEntry{{Engine: "a", Born: born}} }
 	for _, test := range []struct {
 		name  string
 		said  func(d *discovery.Discovery)
@@ -22,33 +22,33 @@
 		{"it leaves", func(d *discovery.Discovery) { d.Leaves(start, "a", 1) }, false},
 		{"its entry is renewed", func(d *discovery.Discovery) {
 			d.Leaves(start, "a", 1)
-			d.Take(start, []feed.Row{bornEntry("a", 1, false, 2)})
+			d.Apply(start, []feed.Row{startEntry("a", 1, false, 2)})
 		}, false},
 		{"its entry goes and comes", func(d *discovery.Discovery) {
 			d.Leaves(start, "a", 1)
-			d.Take(start, []feed.Row{gone})
-			d.Take(start, []feed.Row{bornEntry("a", 1, false, 3)})
+			d.Apply(start, []feed.Row{gone})
+			d.Apply(start, []feed.Row{startEntry("a", 1, false, 3)})
 		}, false},
 		{"it starts again", func(d *discovery.Discovery) {
 			d.Leaves(start, "a", 1)
-			d.Take(start, []feed.Row{bornEntry("a", 2, false, 2)})
+			d.Apply(start, []feed.Row{startEntry("a", 2, false, 2)})
 		}, true},
 		{"an answer of its former life", func(d *discovery.Discovery) {
-			d.Take(start, []feed.Row{bornEntry("a", 2, false, 2)})
+			d.Apply(start, []feed.Row{startEntry("a", 2, false, 2)})
 			d.Leaves(start, "a", 1)
 		}, true},
-		{"a peer's word", func(d *discovery.Discovery) { d.HearLeaving(start, told(1)) }, false},
-		{"a peer's word of a former life", func(d *discovery.Discovery) { d.HearLeaving(start, told(7)) }, true},
+		{"a peer's word", func(d *discovery.Discovery) { d.MergeGossip(start, told(1)) }, false},
+		{"a peer's word of a former life", func(d *discovery.Discovery) { d.MergeGossip(start, told(7)) }, true},
 		{"a word of an engine that is not known", func(d *discovery.Discovery) { d.Leaves(start, "b", 1) }, true},
 	} {
-		got := lives{}
-		d := discovery.New(decodeBorn, got, 2*time.Second, quiet)
-		d.Take(start, []feed.Row{bornEntry("a", 1, false, 1)})
+		got := engineStates{}
+		d := discovery.New(decodeEngine, got, 2*time.Second, quiet)
+		d.Apply(start, []feed.Row{startEntry("a", 1, false, 1)})
 		test.said(d)
 		if got["a"].Draining == test.works {
 			t.Errorf("%s: %+v", test.name, got["a"])
 		}
-		if list := d.TellLeaving(start.Add(time.Minute), time.Second); (len(list) == 1) == test.works {
+		if list := d.GossipEntries(start.Add(time.Minute), time.Second); (len(list) == 1) == test.works {
 			t.Errorf("%s: peers are told %v", test.name, list)
 		}
 	}
@@ -56,21 +56,21 @@
 
 // TestWhatPeersAreToldOfLeavingIsBounded holds that a message has no more engines than it may, the newest first, and that what is
 // told ends with the engines' entries.
-func TestWhatPeersAreToldOfLeavingIsBounded(t *testing.T) {
+func TestGossipOfLeavingEnginesIsBounded(t *testing.T) {
 	const many = 200
-	d := discovery.New(decodeBorn, lives{}, 2*time.Second, quiet)
+	d := discovery.New(decodeEngine, engineStates{}, 2*time.Second, quiet)
 	for i := range many {
 		id := fmt.Sprint("e", i)
-		d.Take(start, []feed.Row{bornEntry(id, 1, false, int64(i))})
+		d.Apply(start, []feed.Row{startEntry(id, 1, false, int64(i))})
 		d.Leaves(start.Add(time.Duration(i)*time.Second), id, 1)
 	}
-	if list := d.TellLeaving(start.Add(many*time.Second), 2*time.Second); len(list) != 64 || list[0].Engine != "e199" {
+	if list := d.GossipEntries(start.Add(many*time.Second), 2*time.Second); len(list) != 64 || list[0].Engine != "e199" {
 		t.Errorf("%d engines are told of, first %v", len(list), list[0])
 	}
 	for i := range many {
-		d.Take(start, []feed.Row{{Key: fmt.Sprint("e", i), Version: many, Deleted: true}})
+		d.Apply(start, []feed.Row{{Key: fmt.Sprint("e", i), Version: many, Deleted: true}})
 	}
-	if list := d.TellLeaving(start.Add(many*time.Second), time.Second); len(list) > 0 {
+	if list := d.GossipEntries(start.Add(many*time.Second), time.Second); len(list) > 0 {
 		t.Errorf("%d engines are told of that are gone", len(list))
 	}
 }
--- a/internal/dispatch/absence_test.go
+++ b/internal/dispatch/absence_test.go
@@ -40,7 +40,7 @@
 	d := dispatcherBy(proof, placement.New("hall"), e, 0, table(1, "k"), 8, "e1")
 	serve(t, d, "safe")
 	now := time.Now()
-	proof.Forget(now)
+	proof.Invalidate(now)
 	d.Returned(now)
 	r := &dispatch.Request{ID: "id", Host: "h", Path: "/safe/x", Key: "k", Patience: timeout}
 	if _, _, refusal := d.Check(now, r); refusal == nil || refusal.Reason != dispatch.Stale {
@@ -66,7 +66,7 @@
 	wg := occupy(t, d, e, "high")
 	time.AfterFunc(placeTarget/8, func() { // The second waits for the place meanwhile.
 		now := time.Now()
-		proof.Forget(now)
+		proof.Invalidate(now)
 		d.Returned(now)
 		close(release)
 	})
--- a/internal/edge/absence.go
+++ b/internal/edge/absence.go
@@ -19,7 +19,7 @@
 	if away < leastAbsence {
 		return
 	}
-	e.proof.Forget(now)
+	e.proof.Invalidate(now)
 	e.dispatcher.Returned(now)
 	e.egress.ForgetAll()
 	e.absences.Add(1)
--- a/internal/edge/config.go
+++ b/internal/edge/config.go
@@ -13,7 +13,7 @@
 // configuration: no request is taken by a node that starts before it knows of them.
 func (e *Edge) takeConfig(now time.Time, rows []feed.Row) {
 	begin := clock.Now()
-	e.evacuations.Take(now, platform.Evacuations(rows))
+	e.evacuations.Apply(now, platform.Evacuations(rows))
 	table, err := platform.Config(rows)
 	if err != nil {
 		e.configsRefused.Add(1)
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -192,7 +192,7 @@
 	e.store = platform.NewStore(s.PlatformAddresses, platform.StoreTimeout)
 	e.register = register.New(now, e.store, self, slices.Collect(maps.Keys(s.HallRegions)), s.FirstStart, e.gossip, e.log)
 	e.config = feed.NewTable(platform.TableConfig, e.takeConfig)
-	e.engines = feed.NewTable(platform.TableEngines, e.discovery.Take)
+	e.engines = feed.NewTable(platform.TableEngines, e.discovery.Apply)
 	e.follower = feed.NewFollower(s.PeerAddress, e.calls, e.log, e.config, e.engines)
 	e.peers = peer.NewServer(listener, e.traffic, e.log)
 	e.peers.Handle(feed.MethodTable, peer.Typed(e.follower.Answer))
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -50,7 +50,7 @@
 	versions := e.follower.Versions() // They are read before the work: it may be of later entries, not of earlier ones.
 	s := gossip.Said{
 		Ready: e.Ready(now), Stopping: e.dispatcher.Ready(now) == dispatch.Stopping, Rate: float32(e.dispatcher.Rate(now)), Loads: e.placement.Loads(), Uses: e.placement.TakeUses(), Versions: versions,
-		ConfigVersion: e.dispatcher.Version(), ProofAgeMs: -1, CantRead: e.cantRead(now), SilentMs: -1, LostAgeMs: -1, Places: e.dispatcher.Places(now), Holder: e.sayHolder(now), Crashing: e.quarantine.GossipEntries(now, gossip.NewsLife), Limits: e.limits.GossipEntries(now, gossip.NewsLife), Leaving: e.discovery.TellLeaving(now, gossip.NewsLife),
+		ConfigVersion: e.dispatcher.Version(), ProofAgeMs: -1, CantRead: e.cantRead(now), SilentMs: -1, LostAgeMs: -1, Places: e.dispatcher.Places(now), Holder: e.sayHolder(now), Crashing: e.quarantine.GossipEntries(now, gossip.NewsLife), Limits: e.limits.GossipEntries(now, gossip.NewsLife), Leaving: e.discovery.GossipEntries(now, gossip.NewsLife),
 	}
 	if age, ok := e.proof.Age(now); ok {
 		s.ProofAgeMs = age.Milliseconds() + 1 // It is rounded up: a proof must not grow younger on its way.
@@ -71,14 +71,14 @@
 	e.dispatcher.HeardPlaces(now, p.Name, s.Places)
 	e.quarantine.MergeGossip(now, s.Crashing)
 	e.limits.MergeGossip(now, s.Limits)
-	e.discovery.HearLeaving(now, s.Leaving)
+	e.discovery.MergeGossip(now, s.Leaving)
 	e.hearHolder(now, s.Holder)
 	e.follower.Heard(p.PeerAddress, s.Versions)
 	if s.ProofAgeMs >= 0 && !received.IsZero() && s.ConfigVersion > 0 && s.ConfigVersion <= e.dispatcher.Version() {
 		e.proof.Renew(received.Add(-time.Duration(s.ProofAgeMs) * time.Millisecond))
 	}
 	if s.LostAgeMs >= 0 {
-		e.discovery.Lost(now.Add(-time.Duration(s.LostAgeMs) * time.Millisecond))
+		e.discovery.StoreUnavailable(now.Add(-time.Duration(s.LostAgeMs) * time.Millisecond))
 	}
 }
 
--- a/internal/edge/reading.go
+++ b/internal/edge/reading.go
@@ -249,7 +249,7 @@
 // lost records that the store could not be called.
 func (e *Edge) lost(now time.Time) {
 	e.lostAt.Store(&now)
-	e.discovery.Lost(now)
+	e.discovery.StoreUnavailable(now)
 }
 
 // proven records an answer of the store by which the configuration in force was
--- a/internal/evacuation/evacuation.go
+++ b/internal/evacuation/evacuation.go
@@ -47,7 +47,7 @@
 }
 
 // Take takes changes, in the order of their versions.
-func (e *Evacuations) Take(now time.Time, changes []Change) {
+func (e *Evacuations) Apply(now time.Time, changes []Change) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, c := range changes {
--- a/internal/evacuation/evacuation_test.go
+++ b/internal/evacuation/evacuation_test.go
@@ -38,7 +38,7 @@
 		{"both at once", []evacuation.Change{{Hall: "a", Version: 8}, {Hall: "b", Ends: true, Version: 9}}, "b"},
 	}
 	for i, step := range steps {
-		e.Take(now, step.changes)
+		e.Apply(now, step.changes)
 		if i == 1 {
 			p.Set(placement.Engine{ID: "a2", Pool: "p", Hall: "a", Slots: 4})
 		}
--- a/internal/freshness/freshness.go
+++ b/internal/freshness/freshness.go
@@ -10,11 +10,11 @@
 
 // Proof is the newest proof that the configuration in force is the newest.
 type Proof struct {
-	mu     sync.Mutex
-	maxAge time.Duration
-	at     time.Time
-	proven bool
-	from   time.Time // from is the moment before which no proof counts.
+	mu        sync.Mutex
+	maxAge    time.Duration
+	provenAt  time.Time
+	proven    bool
+	notBefore time.Time // from is the moment before which no proof counts.
 }
 
 // New returns a proof that holds for maxAge once it is given.
@@ -32,23 +32,23 @@
 func (p *Proof) Renew(at time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !at.Before(p.from) && (!p.proven || at.After(p.at)) {
-		p.at, p.proven = at, true
+	if !at.Before(p.notBefore) && (!p.proven || at.After(p.provenAt)) {
+		p.provenAt, p.proven = at, true
 	}
 }
 
 // Forget drops the proof, and counts none of before a moment: that at which the process was back from an absence.
-func (p *Proof) Forget(now time.Time) {
+func (p *Proof) Invalidate(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.proven, p.from = false, now
+	p.proven, p.notBefore = false, now
 }
 
 // Age returns the age of the newest proof, and whether there is one.
 func (p *Proof) Age(now time.Time) (time.Duration, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return now.Sub(p.at), p.proven
+	return now.Sub(p.provenAt), p.proven
 }
 
 // AgeMs returns the age of the newest proof in milliseconds, -1 if there is none.
@@ -64,5 +64,5 @@
 func (p *Proof) Fresh(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.proven && now.Sub(p.at) <= p.maxAge
+	return p.proven && now.Sub(p.provenAt) <= p.maxAge
 }
--- a/internal/freshness/freshness_test.go
+++ b/internal/freshness/freshness_test.go
@@ -8,17 +8,17 @@
 )
 
 // TestNoProofOfBeforeAnAbsenceCounts holds that after an absence only what was the newest since counts.
-func TestNoProofOfBeforeAnAbsenceCounts(t *testing.T) {
+func TestProofFromBeforeASuspensionIsRejected(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := freshness.New(4 * time.Second)
 	p.Renew(now)
-	back := now.Add(time.Second)
-	p.Forget(back)
-	p.Renew(back.Add(-time.Millisecond))
-	if _, proven := p.Age(back); proven || p.Fresh(back) {
+	resumed := now.Add(time.Second)
+	p.Invalidate(resumed)
+	p.Renew(resumed.Add(-time.Millisecond))
+	if _, proven := p.Age(resumed); proven || p.Fresh(resumed) {
 		t.Error("a proof of before the absence counts")
 	}
-	if p.Renew(back); !p.Fresh(back) {
+	if p.Renew(resumed); !p.Fresh(resumed) {
 		t.Error("a proof of after the absence does not count")
 	}
 }
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -45,7 +45,7 @@
 		Nodes         NodeCount                    `cbor:"15,keyasint,omitzero"`  // Nodes is how many nodes a hub knows of.
 		Chosen        []Known                      `cbor:"16,keyasint,omitempty"` // Chosen are the hubs that a hub wants in its hall, for those that may not know them.
 		Limits        []limit.GossipEntry          `cbor:"17,keyasint,omitempty"` // Limits are the limits of engines, and which of them have ended lately.
-		Leaving       []discovery.Told             `cbor:"18,keyasint,omitempty"` // Leaving are engines that said in their answers that they leave.
+		Leaving       []discovery.GossipEntry      `cbor:"18,keyasint,omitempty"` // Leaving are engines that said in their answers that they leave.
 	}
 
 	// Known is a node of the sender's hall, as others reach it.
--- a/internal/gossip/send.go
+++ b/internal/gossip/send.go
@@ -65,7 +65,7 @@
 			s := g.saidTo(said, turn, to.turns)
 			s.Crashing = told(of, said.Crashing, func(t quarantine.GossipEntry) time.Duration { return t.Age })
 			s.Limits = told(of, said.Limits, func(t limit.GossipEntry) time.Duration { return t.Age })
-			s.Leaving = told(of, said.Leaving, func(t discovery.Told) time.Duration { return t.Age })
+			s.Leaving = told(of, said.Leaving, func(t discovery.GossipEntry) time.Duration { return t.Age })
 			if of.chosen {
 				s.Chosen = g.knownChosen()
 			}
