--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,8 +1,7 @@
-// Package discovery follows the entries of engines and decides which of them
-// get new work. Entries also go while the platform's store is away, though the
-// engines live, and come back soon after; an engine that said that it leaves
-// gets no new work any more, whatever its entry says later, until it has started again.
-// An entry that can't be understood names no engine to use.
+// Package discovery follows the entries of engines in the platform's store and decides which engines get new work.
+// Entries also disappear while the store is unavailable although the engines run, and reappear soon after. An engine that
+// announced that it is leaving gets no new work until it has restarted, whatever its entry says later. An engine with an
+// invalid entry gets no work.
 package discovery
 
 import (
@@ -18,68 +17,68 @@
 )
 
 const (
-	// maxMissingGrace bounds how long after the store's return an engine without entry
+	// maxMissingGrace bounds how long after the store's return an engine without an entry
 	// is still used: engines write their entries again within two seconds.
 	maxMissingGrace = 1800 * time.Millisecond
 
-	// maxLogLines is how many engines taken at once are logged one by one. At a start there are
-	// some hundred, and as many nodes that take them.
+	// maxLogLines is how many entries of one batch are logged individually. At a start there are
+	// some hundred engines, and as many nodes that read them.
 	maxLogLines = 20
 
-	// missingGraceShare of the time in which new work must stop is at most used for that.
+	// missingGraceShare is the share of the drain time that the grace period may use at most.
 	missingGraceShare = 0.9
 )
 
 type (
-	// Decode returns the engine of a row.
+	// Decode decodes the engine of a row.
 	Decode func(now time.Time, row feed.Row) (placement.Engine, error)
 
-	// Engines takes the engines that may get work.
+	// Engines is told which engines may get work.
 	Engines interface {
 		Set(e placement.Engine)
 		Remove(id string)
 
-		// Drain has an engine get no new work from now on.
+		// Drain stops new work for an engine.
 		Drain(id string)
 	}
 
-	// Discovery follows entries.
+	// Discovery follows the entries of engines.
 	Discovery struct {
 		decode  Decode
 		engines Engines
 		log     *slog.Logger
 
-		missingGrace time.Duration // unsettledFor is how long an engine without entry is used after the store's return.
+		missingGrace time.Duration // missingGrace is how long an engine without an entry is used after the store's return.
 
 		mu          sync.Mutex
-		storeLostAt time.Time              // lostAt is when the store last could not be called.
-		dropAt      map[string]time.Time   // missing holds engines without entry, and when they are dropped.
-		known       map[string]incarnation // known holds the present incarnation of all engines that were ever known.
-		leaving     news.List              // said holds the engines with an entry that said in an answer that they leave.
-		refused     int64                  // refused counts the changes by which an entry could not be understood.
+		storeLostAt time.Time              // storeLostAt is when the store was last unavailable.
+		dropAt      map[string]time.Time   // dropAt is when each engine without an entry is to be removed.
+		known       map[string]incarnation // known holds the present incarnation of every engine ever seen.
+		leaving     news.List              // leaving holds the engines with an entry that announced in an answer that they are leaving.
+		refused     int64                  // refused counts the updates rejected because the entry was invalid.
 	}
 
-	// incarnation is one of an engine's, from its start.
+	// incarnation is one run of an engine, from its start.
 	incarnation struct {
-		born         int64 // born is what the engine says of its start; 0 if nothing.
-		firstVersion int64 // since is the version of the entry by which it was known first.
-		draining     bool  // draining says that it once said that it leaves.
+		born         int64 // born is the start time that the engine reports; 0 if none.
+		firstVersion int64 // firstVersion is the version of the first entry of this incarnation.
+		draining     bool  // draining is set once the engine announced that it is leaving.
 
-		learnedAt time.Time // saidAt is when this node learned that an answer of it said so; zero if none did.
+		learnedAt time.Time // learnedAt is when this node learned of an answer that announced it; zero if there was none.
 	}
 )
 
-// errStartMissing says that an entry lacks what the engine said before.
+// errStartMissing is returned for an entry without a start time if the engine reported one before.
 var errStartMissing = errors.New("the entry no longer tells of the engine's start")
 
-// New returns a discovery that tells engines to a placement; new work at an engine
-// that left must stop within drain.
+// New returns a Discovery that reports to engines. New work at an engine that left must stop
+// within drain.
 func New(decode Decode, engines Engines, drain time.Duration, log *slog.Logger) *Discovery {
 	grace := min(maxMissingGrace, time.Duration(missingGraceShare*float64(drain)))
 	return &Discovery{decode: decode, engines: engines, log: log, missingGrace: grace, dropAt: map[string]time.Time{}, known: map[string]incarnation{}}
 }
 
-// Lost records that the store could not be called at a moment.
+// StoreUnavailable records that the store was unavailable at a time.
 func (d *Discovery) StoreUnavailable(at time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -88,7 +87,7 @@
 	}
 }
 
-// Take takes changed entries; it is a feed.Consumer.
+// Apply applies changed entries; it is a feed.Consumer.
 func (d *Discovery) Apply(now time.Time, rows []feed.Row) {
 	logEach := len(rows) <= maxLogLines
 	taken, draining, refused := 0, 0, 0
@@ -109,11 +108,11 @@
 		}
 	}
 	if !logEach {
-		d.log.Info("engines", "taken", taken, "draining", draining, "refused", refused, "rows", len(rows))
+		d.log.Info("engine entries applied", "taken", taken, "draining", draining, "refused", refused, "rows", len(rows))
 	}
 }
 
-// applyEntry takes one entry and reports whether the engine leaves.
+// applyEntry applies one entry and reports whether the engine is draining.
 func (d *Discovery) applyEntry(now time.Time, r feed.Row, log bool) (draining bool, err error) {
 	e, err := d.decode(now, r)
 	if err != nil {
@@ -126,7 +125,7 @@
 		return false, errStartMissing
 	}
 	if known && current.born != e.Born {
-		d.log.Info("engine started again", "engine", e.ID, "born", e.Born, "before", current.born, "version", r.Version)
+		d.log.Info("engine restarted", "engine", e.ID, "born", e.Born, "before", current.born, "version", r.Version)
 	}
 	if !known || current.born != e.Born {
 		current = incarnation{born: e.Born, firstVersion: r.Version}
@@ -140,13 +139,13 @@
 	e.Draining, e.Since = current.draining, current.firstVersion
 	delete(d.dropAt, e.ID)
 	if log {
-		d.log.Info("engine", "engine", e.ID, "pool", e.Pool, "address", e.Address, "hall", e.Hall, "draining", e.Draining, "version", r.Version)
+		d.log.Info("engine entry applied", "engine", e.ID, "pool", e.Pool, "address", e.Address, "hall", e.Hall, "draining", e.Draining, "version", r.Version)
 	}
 	d.engines.Set(e)
 	return e.Draining, nil
 }
 
-// rejectEntry gives an engine no new work whose entry can't be understood.
+// rejectEntry removes an engine that has an invalid entry, so that it gets no work.
 func (d *Discovery) rejectEntry(id string, cause error, log bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -158,15 +157,15 @@
 	}
 }
 
-// Refused returns how many changes of entries could not be understood so far.
+// Refused returns the number of updates rejected because the entry was invalid.
 func (d *Discovery) Refused() int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.refused
 }
 
-// entryDeleted drops an engine without entry: at once, or after a while where the store
-// was away.
+// entryDeleted removes an engine whose entry was deleted: at once, or after a grace period if the store
+// was unavailable shortly before.
 func (d *Discovery) entryDeleted(now time.Time, id string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -180,7 +179,7 @@
 	}
 }
 
-// Expire drops engines whose entries did not come back.
+// Expire removes the engines whose entries did not come back within the grace period.
 func (d *Discovery) Expire(now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -192,8 +191,8 @@
 	}
 }
 
-// remove drops an engine; the caller holds the lock, so that an entry which comes
-// back meanwhile is taken after it.
+// remove removes an engine. The caller holds the lock, so that an entry which comes
+// back meanwhile is applied after it.
 func (d *Discovery) remove(id, reason string) {
 	d.log.Info("engine removed", "engine", id, "reason", reason)
 	d.leaving.Remove(id)
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -20,14 +20,14 @@
 	quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
 )
 
-// decode reads the test's own entries.
+// decode decodes the entries of the tests.
 func decode(_ time.Time, r feed.Row) (placement.Engine, error) {
 	e := placement.Engine{ID: r.Key}
 	err := json.Unmarshal(r.Value, &e.Draining)
 	return e, err
 }
 
-// engines keeps which engines get work.
+// workable records which engines get work.
 type workable map[string]bool
 
 func (e workable) Set(x placement.Engine) { e[x.ID] = !x.Draining }
@@ -39,8 +39,8 @@
 	return feed.Row{Key: id, Value: text, Version: version}
 }
 
-// TestDrainingEngineNeverComesBack holds that an entry which says ready again,
-// as after a read of old rows, gives a leaving engine no work.
+// TestDrainingEngineStaysDraining checks that an engine that is leaving gets no work if an entry says ready again,
+// as after a read of outdated rows.
 func TestDrainingEngineStaysDraining(t *testing.T) {
 	got := workable{}
 	d := discovery.New(decode, got, 2*time.Second, quiet)
@@ -48,12 +48,12 @@
 	d.Apply(start, []feed.Row{entry("a", true, 2)})
 	d.Apply(start, []feed.Row{entry("a", false, 3)})
 	if got["a"] {
-		t.Error("a leaving engine gets work again")
+		t.Error("an engine that is leaving gets work again")
 	}
 }
 
-// TestEntryGoneIsDroppedAtOnce holds that an engine without entry gets no work
-// where the store is well.
+// TestDeletedEntryRemovesTheEngineAtOnce checks that an engine without an entry gets no work
+// if the store is available.
 func TestDeletedEntryRemovesTheEngineAtOnce(t *testing.T) {
 	got := workable{}
 	d := discovery.New(decode, got, 2*time.Second, quiet)
@@ -64,9 +64,8 @@
 	}
 }
 
-// TestEntryLapsedWhileTheStoreWasAway holds that an engine whose entry lapsed is
-// used until its entry could have come back, and dropped within two seconds if it
-// does not.
+// TestEntryDeletedDuringAStoreOutage checks that an engine whose entry expired during an outage is
+// used until the entry could have come back, and is removed within two seconds if it does not.
 func TestEntryDeletedDuringAStoreOutage(t *testing.T) {
 	got := workable{}
 	d := discovery.New(decode, got, 2*time.Second, quiet)
@@ -84,12 +83,12 @@
 	}
 	d.Apply(after.Add(3*time.Second), []feed.Row{{Key: "back", Version: 6, Deleted: true}})
 	if got["back"] {
-		t.Error("an entry that goes later, the store being well, still counts")
+		t.Error("an engine is used though its entry was deleted while the store was available")
 	}
 }
 
-// TestManyEnginesAreOneLine holds that a table that is taken at a start is logged in one
-// line, and a few changes one by one.
+// TestManyEntriesAreLoggedInOneLine checks that a large batch is logged in one line, and a small one entry by
+// entry.
 func TestManyEntriesAreLoggedInOneLine(t *testing.T) {
 	var out bytes.Buffer
 	d := discovery.New(decode, workable{}, 2*time.Second, slog.New(slog.NewJSONHandler(&out, nil)))
@@ -108,7 +107,7 @@
 	}
 }
 
-// lives keeps the engines as they were set last.
+// engineStates holds the engines as last set.
 type engineStates map[string]placement.Engine
 
 func (l engineStates) Set(e placement.Engine) { l[e.ID] = e }
@@ -120,22 +119,22 @@
 	l[id] = e
 }
 
-// bornEntry returns an entry of an incarnation of an engine; 0 is of one that does not tell.
+// startEntry returns an entry of an engine with a start time; 0 if it reports none.
 func startEntry(id string, born int64, draining bool, version int64) feed.Row {
 	text, _ := json.Marshal(placement.Engine{ID: id, Born: born, Draining: draining})
 	return feed.Row{Key: id, Value: text, Version: version}
 }
 
-// decodeBorn reads such entries.
+// decodeEngine decodes the entries of startEntry.
 func decodeEngine(_ time.Time, r feed.Row) (placement.Engine, error) {
 	var e placement.Engine
 	err := json.Unmarshal(r.Value, &e)
 	return e, err
 }
 
-// TestAnEngineThatStartsAgainMayTakeWork holds that an engine which said that it leaves gets work again
-// once it has started again, since which entry that is known, and that an entry of the present
-// incarnation does not change it. Starts are told apart by being others, not by their order.
+// TestRestartedEngineGetsWork checks that an engine that was leaving gets work again after a restart, that Since is the
+// version of the incarnation's first entry, and that later entries of the incarnation don't change it. Incarnations are
+// compared for equality only, not by order.
 func TestRestartedEngineGetsWork(t *testing.T) {
 	got := engineStates{}
 	d := discovery.New(decodeEngine, got, 2*time.Second, quiet)
@@ -159,13 +158,13 @@
 	d.Apply(start, []feed.Row{{Key: "e", Version: 7, Deleted: true}})
 	d.Apply(start, []feed.Row{startEntry("e", 100, false, 8)})
 	if !got["e"].Draining {
-		t.Error("a leaving engine whose entry was away gets work again, though it has not started again")
+		t.Error("an engine that was leaving gets work again after its entry came back, without a restart")
 	}
 }
 
-// TestAnEntryOfAnotherWriterNamesNoEngine holds that an engine whose entry can't be understood any more, or
-// lacks its start, gets no work, that the others in the same answer hold, that it gets work again by
-// a good entry, and that there is one line for each such change, with a bound, and a count.
+// TestInvalidEntryRemovesTheEngine checks that an engine gets no work if its entry becomes invalid or
+// lacks its start time, that other engines of the same batch are kept, that a valid entry restores it, and that
+// rejections are counted and logged, up to a maximum number of lines.
 func TestInvalidEntryRemovesTheEngine(t *testing.T) {
 	var out bytes.Buffer
 	got := engineStates{}
@@ -177,11 +176,11 @@
 		t.Errorf("engines that get work: %v, want b and d", got)
 	}
 	if lines := strings.Count(out.String(), "not understood"); lines != 2 || d.Refused() != 2 {
-		t.Errorf("%d lines and a count of %d for two entries: %s", lines, d.Refused(), out.String())
+		t.Errorf("%d lines and a count of %d for two invalid entries: %s", lines, d.Refused(), out.String())
 	}
 	d.Apply(start, []feed.Row{startEntry("a", 1, false, 7)})
 	if got["a"].ID == "" {
-		t.Error("an engine with a good entry again gets no work")
+		t.Error("an engine gets no work although its entry is valid again")
 	}
 	var many []feed.Row
 	for i := range 300 {
@@ -190,6 +189,6 @@
 	out.Reset()
 	d.Apply(start, many)
 	if lines := strings.Count(out.String(), "\n"); lines > 30 || !strings.Contains(out.String(), `"refused":300`) {
-		t.Errorf("%d lines for 300 entries that can't be understood: %.300s", lines, out.String())
+		t.Errorf("%d lines for 300 invalid entries: %.300s", lines, out.String())
 	}
 }
--- a/internal/discovery/leaving.go
+++ b/internal/discovery/leaving.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// maxGossipEntries is how many engines that leave are told of in one message: about 2 KB.
+// maxGossipEntries bounds the engines in one message, at about 2 KB.
 const maxGossipEntries = 64
 
-// GossipEntry is what a node tells its peers of an engine that said in an answer that it leaves.
+// GossipEntry is what a node tells its peers about an engine that announced in an answer that it is leaving.
 type GossipEntry struct {
 	_      struct{} `cbor:",toarray"`
 	Engine string
-	Born   int64         // Born tells the incarnation that said so.
-	Age    time.Duration `cbor:"-"` // Age is how long ago the sender learned it; it is not sent.
+	Born   int64         // Born is the start time of the incarnation that announced it.
+	Age    time.Duration `cbor:"-"` // Age is how long ago the sender learned of it; it is not sent.
 }
 
-// Leaves takes that an incarnation of an engine said in an answer that it leaves: it gets no new work, whatever its entry says,
-// until the engine has started again.
+// Leaves records that an incarnation of an engine announced in an answer that it is leaving. The engine gets no new work,
+// whatever its entry says, until it has restarted.
 func (d *Discovery) Leaves(now time.Time, id string, born int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.markLeaving(now, id, born, "answer")
 }
 
-// markLeaving takes that an incarnation of an engine markLeaving. The caller holds the lock.
+// markLeaving marks an incarnation of an engine as leaving. The caller holds the lock.
 func (d *Discovery) markLeaving(now time.Time, id string, born int64, from string) {
 	known, ok := d.known[id]
 	if !ok || known.born != born || !known.learnedAt.IsZero() {
 		return
 	}
-	d.log.Info("engine leaves", "engine", id, "born", born, "from", from, "entry_draining", known.draining)
+	d.log.Info("engine is leaving", "engine", id, "born", born, "from", from, "entry_draining", known.draining)
 	known.draining, known.learnedAt = true, now
 	d.known[id] = known
 	d.leaving.Add(id)
@@ -35,12 +35,12 @@
 	d.engines.Drain(id)
 }
 
-// TellLeaving returns what peers should know of engines that said that they leave: what was learned within a time, and some of the rest
-// by turns, as long as their entries are there.
-func (d *Discovery) GossipEntries(now time.Time, span time.Duration) []GossipEntry {
+// GossipEntries returns the next entries to gossip: the engines that were learned of within the window, and some of the others
+// in rotation, as long as they have entries in the store.
+func (d *Discovery) GossipEntries(now time.Time, window time.Duration) []GossipEntry {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	recent := func(id string) bool { return now.Sub(d.known[id].learnedAt) <= span }
+	recent := func(id string) bool { return now.Sub(d.known[id].learnedAt) <= window }
 	var out []GossipEntry
 	for _, id := range d.leaving.Next(recent, maxGossipEntries) {
 		known := d.known[id]
@@ -49,7 +49,7 @@
 	return out
 }
 
-// HearLeaving takes what a peer tells.
+// MergeGossip merges the entries of a peer.
 func (d *Discovery) MergeGossip(now time.Time, list []GossipEntry) {
 	if len(list) == 0 {
 		return
--- a/internal/evacuation/evacuation.go
+++ b/internal/evacuation/evacuation.go
@@ -1,5 +1,5 @@
-// Package evacuation keeps which halls operators have evacuated. The engines of such a hall get no new
-// requests until the operators take the evacuation back; what runs there goes on.
+// Package evacuation tracks the halls that operators have evacuated. The engines of an evacuated hall get no new
+// requests until the operators end the evacuation; running requests continue.
 package evacuation
 
 import (
@@ -11,27 +11,27 @@
 )
 
 type (
-	// Change begins the evacuation of a hall, or ends it.
+	// Change starts or ends the evacuation of a hall.
 	Change struct {
 		Hall    string
 		Ends    bool
-		Version int64 // Version is that of the operators' row.
+		Version int64 // Version is the version of the operators' row.
 	}
 
-	// Evacuation is a hall that is evacuated.
+	// Evacuation is an evacuated hall.
 	Evacuation struct {
 		Hall    string
-		Version int64     // Version is that of the operators' row.
+		Version int64     // Version is the version of the operators' row.
 		Since   time.Time // Since is when this node learned of it.
 	}
 
 	// Placer decides which engines get requests.
 	Placer interface {
-		// SetEvacuated says whether the engines of a hall are to get no new requests.
+		// SetEvacuated sets whether the engines of a hall get no new requests.
 		SetEvacuated(hall string, evacuated bool)
 	}
 
-	// Evacuations are the halls that are evacuated. Its methods may be called from many goroutines.
+	// Evacuations holds the evacuated halls. It is safe for concurrent use.
 	Evacuations struct {
 		placer Placer
 		log    *slog.Logger
@@ -41,12 +41,12 @@
 	}
 )
 
-// New returns evacuations that are told to a placer; none has begun.
+// New returns Evacuations without halls that reports to a placer.
 func New(placer Placer, log *slog.Logger) *Evacuations {
 	return &Evacuations{placer: placer, log: log, halls: map[string]Evacuation{}}
 }
 
-// Take takes changes, in the order of their versions.
+// Apply applies changes in the order of their versions.
 func (e *Evacuations) Apply(now time.Time, changes []Change) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -55,7 +55,7 @@
 		switch {
 		case c.Ends && evacuated:
 			delete(e.halls, c.Hall)
-			e.log.Info("evacuation taken back", "hall", c.Hall, "version", c.Version, "begun_with", before.Version, "after_ms", now.Sub(before.Since).Milliseconds())
+			e.log.Info("evacuation ended", "hall", c.Hall, "version", c.Version, "begun_with", before.Version, "after_ms", now.Sub(before.Since).Milliseconds())
 		case !c.Ends && !evacuated:
 			e.halls[c.Hall] = Evacuation{Hall: c.Hall, Version: c.Version, Since: now}
 			e.log.Info("hall evacuated", "hall", c.Hall, "version", c.Version)
@@ -64,7 +64,7 @@
 	}
 }
 
-// List returns the halls that are evacuated, in the order of their names.
+// List returns the evacuated halls, sorted by name.
 func (e *Evacuations) List() []Evacuation {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/evacuation/evacuation_test.go
+++ b/internal/evacuation/evacuation_test.go
@@ -10,8 +10,8 @@
 	"github.com/croftturn/croftturn/internal/placement"
 )
 
-// TestAnEvacuatedHallGetsNoRequests holds that engines of a hall which is evacuated are not chosen, also such as become
-// known later, that those of the others are, and that they are again once the evacuation is taken back.
+// TestAnEvacuatedHallGetsNoRequests checks that no engine of an evacuated hall is chosen, not even one that is added
+// during the evacuation, that engines of other halls are, and that the hall is used again after the evacuation.
 func TestAnEvacuatedHallGetsNoRequests(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := placement.New("a")
@@ -31,11 +31,11 @@
 		want    string
 	}{
 		{"at first", nil, "a"},
-		{"its hall is evacuated", []evacuation.Change{{Hall: "a", Version: 3}}, "b"},
-		{"told again, and of a hall that was not", []evacuation.Change{{Hall: "a", Version: 4}, {Hall: "c", Ends: true, Version: 5}}, "b"},
-		{"the last hall, too", []evacuation.Change{{Hall: "b", Version: 6}}, ""},
-		{"the first is taken back", []evacuation.Change{{Hall: "a", Ends: true, Version: 7}}, "a"},
-		{"both at once", []evacuation.Change{{Hall: "a", Version: 8}, {Hall: "b", Ends: true, Version: 9}}, "b"},
+		{"own hall evacuated", []evacuation.Change{{Hall: "a", Version: 3}}, "b"},
+		{"repeated, and the end for a hall that was not evacuated", []evacuation.Change{{Hall: "a", Version: 4}, {Hall: "c", Ends: true, Version: 5}}, "b"},
+		{"last hall evacuated", []evacuation.Change{{Hall: "b", Version: 6}}, ""},
+		{"first evacuation ended", []evacuation.Change{{Hall: "a", Ends: true, Version: 7}}, "a"},
+		{"start and end in one batch", []evacuation.Change{{Hall: "a", Version: 8}, {Hall: "b", Ends: true, Version: 9}}, "b"},
 	}
 	for i, step := range steps {
 		e.Apply(now, step.changes)
@@ -47,6 +47,6 @@
 		}
 	}
 	if list := e.List(); len(list) != 1 || list[0].Hall != "a" || list[0].Version != 8 || !list[0].Since.Equal(now) {
-		t.Errorf("evacuated are %+v, want a with version 8", list)
+		t.Errorf("evacuated halls: %+v, want a with version 8", list)
 	}
 }
--- a/internal/freshness/freshness.go
+++ b/internal/freshness/freshness.go
@@ -1,6 +1,5 @@
-// Package freshness tells how long ago it was proved that the configuration in
-// force is the newest, on the steady clock. A node that can't prove it refuses
-// requests with keys, since a key may have been taken away meanwhile.
+// Package freshness tracks how long ago the configuration in force was proven to be the newest, by the monotonic
+// clock. A node without a recent proof refuses requests with API keys, since a key may have been revoked meanwhile.
 package freshness
 
 import (
@@ -14,21 +13,21 @@
 	maxAge    time.Duration
 	provenAt  time.Time
 	proven    bool
-	notBefore time.Time // from is the moment before which no proof counts.
+	notBefore time.Time // notBefore is the time before which proofs are not accepted.
 }
 
-// New returns a proof that holds for maxAge once it is given.
+// New returns an empty Proof; a proof is valid for maxAge.
 func New(maxAge time.Duration) *Proof { return &Proof{maxAge: maxAge} }
 
-// SetMaxAge changes how long a proof holds.
+// SetMaxAge changes how long a proof is valid.
 func (p *Proof) SetMaxAge(maxAge time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.maxAge = maxAge
 }
 
-// Renew records that the configuration in force was the newest at a moment; an
-// older moment changes nothing.
+// Renew records that the configuration in force was the newest at a time; an
+// older time changes nothing.
 func (p *Proof) Renew(at time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -37,7 +36,7 @@
 	}
 }
 
-// Forget drops the proof, and counts none of before a moment: that at which the process was back from an absence.
+// Invalidate drops the proof and rejects proofs from before now, the time at which the process resumed after a suspension.
 func (p *Proof) Invalidate(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -60,7 +59,7 @@
 	return age.Milliseconds()
 }
 
-// Fresh reports whether the newest proof still holds.
+// Fresh reports whether the newest proof is still valid.
 func (p *Proof) Fresh(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/freshness/freshness_test.go
+++ b/internal/freshness/freshness_test.go
@@ -7,7 +7,7 @@
 	"github.com/croftturn/croftturn/internal/freshness"
 )
 
-// TestNoProofOfBeforeAnAbsenceCounts holds that after an absence only what was the newest since counts.
+// TestProofFromBeforeASuspensionIsRejected checks that after a suspension only a newer proof is accepted.
 func TestProofFromBeforeASuspensionIsRejected(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := freshness.New(4 * time.Second)
@@ -16,9 +16,9 @@
 	p.Invalidate(resumed)
 	p.Renew(resumed.Add(-time.Millisecond))
 	if _, proven := p.Age(resumed); proven || p.Fresh(resumed) {
-		t.Error("a proof of before the absence counts")
+		t.Error("a proof from before the suspension is accepted")
 	}
 	if p.Renew(resumed); !p.Fresh(resumed) {
-		t.Error("a proof of after the absence does not count")
+		t.Error("a proof from after the suspension is not accepted")
 	}
 }
