--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -34,45 +34,45 @@
 
 	// reportEvery is how often a node sends its counts, and writeEvery how often the holder writes what is new. What a
 	// node counted in half of both, on the mean, is lost with all nodes: 0.35 s, 7 in 100 of a window of five seconds.
-	reportEvery = 250 * time.Millisecond
-	writeEvery  = 400 * time.Millisecond
+	reportInterval = 250 * time.Millisecond
+	writeInterval  = 400 * time.Millisecond
 
 	// renewShare of the lease's life is how often it is renewed where there is nothing to write: one renewal may fail.
-	renewShare = 0.35
+	renewIntervalShare = 0.35
 
 	// lifeShare of the time in which two holders must not act in turn is the life of a lease: a new holder is there
 	// soon, and a renewal may take some tenths of a second, as where the store takes 60 times as long.
-	lifeShare = 0.66
+	leaseTTLShare = 0.66
 
 	// margin is how long a take-over waits beyond the lease's life, for calls that are on their way.
-	margin = 300 * time.Millisecond
+	takeoverMargin = 300 * time.Millisecond
 
 	// holderLife is how long after a holder's last renewal the others begin to watch the lease, and candidateWait how
 	// much later each further candidate does. Renewals come each 0.7 s at the latest.
-	holderLife    = 1200 * time.Millisecond
-	candidateWait = 800 * time.Millisecond
+	holderTimeout  = 1200 * time.Millisecond
+	candidateDelay = 800 * time.Millisecond
 
 	// campaignPoll is how often a candidate looks whether it is its turn, and restPoll how often a node looks that is none,
 	// or that does not hold the duties: each wake-up of 390 nodes costs processor time.
 	campaignPoll = 100 * time.Millisecond
-	restPoll     = 500 * time.Millisecond
+	idlePoll     = 500 * time.Millisecond
 
 	// reportTimeout bounds the call that sends a node's counts.
 	reportTimeout = time.Second
 
 	// callMost bounds a call to the platform.
-	callMost = 1500 * time.Millisecond
+	maxCallTime = 1500 * time.Millisecond
 
 	// giveUpAfter is for how long the platform's calls may fail at a holder before it leaves them to another.
-	giveUpAfter = 4 * time.Second
+	releaseAfter = 4 * time.Second
 
 	// restAfter is how long such a holder does not try again.
-	restAfter = 8 * time.Second
+	releaseCooldown = 8 * time.Second
 )
 
 var (
 	// ErrNone says that no engine of the kind can be had at present.
-	ErrNone = errors.New("duty: none can be had")
+	ErrNoCapacity = errors.New("duty: none can be had")
 
 	// ErrRefused says that the platform will not take the call, however often it is made.
 	ErrRefused = errors.New("duty: the platform refuses the call")
@@ -124,21 +124,21 @@
 	// Settings are what the operators set.
 	Settings struct {
 		Name        string        // Name is this node's.
-		Process     string        // Process tells this process from all others.
+		ProcessID   string        // Process tells this process from all others.
 		PeerAddress string        // PeerAddress is where peers call this node.
-		Apart       time.Duration // Apart is the least time between two terms of one node with another's between them.
+		ReturnDelay time.Duration // Apart is the least time between two terms of one node with another's between them.
 		Window      time.Duration // Window is the length of a window of usage.
-		Late        time.Duration // Late is how long after its end a window is due.
+		DueAfter    time.Duration // Late is how long after its end a window is due.
 		Usage       bool          // Usage says that usage is reported.
 		Scaling     bool          // Scaling says that engines are ordered.
 	}
 
 	// Holder is who holds the duties, as a node knows it.
 	Holder struct {
-		Token   int64
-		Address string
-		SaidAt  time.Time // SaidAt is when the holder last renewed its lease, on this node's clock.
-		Free    bool      // Free says that the holder gave its term up.
+		Token     int64
+		Address   string
+		RenewedAt time.Time // SaidAt is when the holder last renewed its lease, on this node's clock.
+		Released  bool      // Free says that the holder gave its term up.
 	}
 
 	// Duties is one node's part. Its methods may be called from many goroutines.
@@ -154,18 +154,18 @@
 		Counter *usage.Counter // Counter counts the requests of this node.
 		ledger  *usage.Ledger
 
-		mu       sync.Mutex
-		lease    *lease.Lease
-		told     Holder                     // told is the holder that this node heard of last.
-		aloneAt  time.Time                  // aloneAt is since when this node would become the holder and hears of none; zero where it does.
-		mine     int64                      // mine is the token of this process's last term, until it gives it up.
-		restsTo  time.Time                  // restsTo is until when this node leaves the duties to others.
-		failing  time.Time                  // failing is since when the platform's calls fail; zero where they don't.
-		releases bool                       // releases says that this node stops.
-		demand   demand                     // demand is what engines are given to read, as the nodes tell the holder.
-		scalers  map[string]*scaling.Scaler // scalers are by pool.
-		orders   string                     // orders is the row of orders as it lies in the store.
-		wake     chan struct{}              // wake ends the rest of hold.
+		mu            sync.Mutex
+		lease         *lease.Lease
+		lastHolder    Holder                     // told is the holder that this node heard of last.
+		noHolderSince time.Time                  // aloneAt is since when this node would become the holder and hears of none; zero where it does.
+		ownToken      int64                      // mine is the token of this process's last term, until it gives it up.
+		cooldownUntil time.Time                  // restsTo is until when this node leaves the duties to others.
+		failingSince  time.Time                  // failing is since when the platform's calls fail; zero where they don't.
+		stopping      bool                       // releases says that this node stops.
+		demand        demand                     // demand is what engines are given to read, as the nodes tell the holder.
+		scalers       map[string]*scaling.Scaler // scalers are by pool.
+		storedOrders  string                     // orders is the row of orders as it lies in the store.
+		wake          chan struct{}              // wake ends the rest of hold.
 	}
 )
 
@@ -174,14 +174,16 @@
 	day := usage.NewClock(now, clock.Wall(now))
 	return &Duties{
 		settings: s, store: store, platform: p, caller: caller, node: node, log: log,
-		clock: day, Counter: usage.NewCounter(s.Process, s.Window, day), ledger: usage.NewLedger(s.Window, s.Late, day),
-		lease:  lease.New(s.Name, s.PeerAddress, lease.Terms{Life: s.life(), Margin: margin, Apart: s.Apart}),
-		demand: demand{nodes: map[string]*given{}}, scalers: map[string]*scaling.Scaler{}, wake: make(chan struct{}, 1),
+		clock: day, Counter: usage.NewCounter(s.ProcessID, s.Window, day), ledger: usage.NewLedger(s.Window, s.DueAfter, day),
+		lease:  lease.New(s.Name, s.PeerAddress, lease.Timing{TTL: s.leaseTTL(), Margin: takeoverMargin, ReturnDelay: s.ReturnDelay}),
+		demand: demand{nodes: map[string]*nodeWork{}}, scalers: map[string]*scaling.Scaler{}, wake: make(chan struct{}, 1),
 	}
 }
 
 // life returns the life of the lease.
-func (s Settings) life() time.Duration { return time.Duration(lifeShare * float64(s.Apart)) }
+func (s Settings) leaseTTL() time.Duration {
+	return time.Duration(leaseTTLShare * float64(s.ReturnDelay))
+}
 
 // Run takes part until the context ends.
 func (d *Duties) Run(ctx context.Context) {
@@ -193,7 +195,7 @@
 	if d.settings.Scaling {
 		wg.Go(func() { d.orderEngines(ctx) })
 	}
-	d.hold(ctx)
+	d.runLease(ctx)
 	wg.Wait()
 }
 
@@ -201,23 +203,23 @@
 func (d *Duties) Holds(now time.Time) (lease.Term, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.acts(now)
+	return d.activeTerm(now)
 }
 
 // acts returns the term in which this node may act: it holds the lease, and has taken what the holder before left. Counts
 // that came between the two would be lost. The caller holds the lock.
-func (d *Duties) acts(now time.Time) (lease.Term, bool) {
+func (d *Duties) activeTerm(now time.Time) (lease.Term, bool) {
 	term, holds := d.lease.Holds(now)
-	return term, holds && term.Token == d.mine
+	return term, holds && term.Token == d.ownToken
 }
 
 // Hear takes who holds the duties, as a peer says.
-func (d *Duties) Hear(h Holder) {
+func (d *Duties) ObserveHolder(h Holder) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	newer := h.Free && !d.told.Free || h.Free == d.told.Free && h.SaidAt.After(d.told.SaidAt)
-	if h.Token > d.told.Token || h.Token == d.told.Token && newer {
-		d.told = h
+	newer := h.Released && !d.lastHolder.Released || h.Released == d.lastHolder.Released && h.RenewedAt.After(d.lastHolder.RenewedAt)
+	if h.Token > d.lastHolder.Token || h.Token == d.lastHolder.Token && newer {
+		d.lastHolder = h
 	}
 }
 
@@ -225,18 +227,18 @@
 func (d *Duties) Holder(now time.Time) Holder {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if term, ok := d.acts(now); ok {
-		d.told = Holder{Token: term.Token, Address: d.settings.PeerAddress, SaidAt: d.lease.Renewed()}
+	if term, ok := d.activeTerm(now); ok {
+		d.lastHolder = Holder{Token: term.Token, Address: d.settings.PeerAddress, RenewedAt: d.lease.RenewedAt()}
 	}
-	return d.told
+	return d.lastHolder
 }
 
 // reportCounts sends this node's counts to the holder, until the context ends.
 func (d *Duties) reportCounts(ctx context.Context) {
-	for pause.For(ctx, reportEvery) {
+	for pause.For(ctx, reportInterval) {
 		now := clock.Now()
 		h := d.Holder(now)
-		if h.Token == 0 || h.Free {
+		if h.Token == 0 || h.Released {
 			continue
 		}
 		r, ok := d.Counter.Report(now, h.Token)
@@ -249,7 +251,7 @@
 			d.log.Debug("counts not sent", "holder", h.Address, "token", h.Token, "error", err.Error())
 			continue
 		}
-		if moved := d.Counter.Acked(now, clock.Now(), ack); moved != 0 {
+		if moved := d.Counter.HandleAck(now, clock.Now(), ack); moved != 0 {
 			d.log.Warn("time of day put right", "by_ms", moved.Milliseconds(), "holder", h.Address)
 		}
 	}
@@ -258,7 +260,7 @@
 // sendCounts sends counts to the holder, which may be this node.
 func (d *Duties) sendCounts(ctx context.Context, h Holder, r *usage.Report) (usage.Ack, error) {
 	if h.Address == d.settings.PeerAddress {
-		return d.take(clock.Now(), r)
+		return d.addCounts(clock.Now(), r)
 	}
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
@@ -270,20 +272,20 @@
 }
 
 // TakeCounts takes a node's counts; it is the handler of MethodUsage.
-func (d *Duties) TakeCounts(_ context.Context, r *usage.Report) (any, error) {
-	return d.take(clock.Now(), r)
+func (d *Duties) HandleCounts(_ context.Context, r *usage.Report) (any, error) {
+	return d.addCounts(clock.Now(), r)
 }
 
 // take takes a node's counts, if this node is the holder.
-func (d *Duties) take(now time.Time, r *usage.Report) (usage.Ack, error) {
+func (d *Duties) addCounts(now time.Time, r *usage.Report) (usage.Ack, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	term, ok := d.acts(now)
+	term, ok := d.activeTerm(now)
 	if !ok {
 		return usage.Ack{}, errNotHolder
 	}
-	d.demand.take(now, r.Node, r.Work)
-	return d.ledger.Take(now, term.Token, *r), nil
+	d.demand.update(now, r.Node, r.Work)
+	return d.ledger.AddReport(now, term.Token, *r), nil
 }
 
 // reportWindows reports the windows that are settled, while this node is the holder, until the context ends.
@@ -292,7 +294,7 @@
 	for ctx.Err() == nil {
 		term, ok := d.Holds(clock.Now())
 		if !ok {
-			pause.For(ctx, restPoll)
+			pause.For(ctx, idlePoll)
 			continue
 		}
 		w, due := d.ledger.Due()
@@ -301,7 +303,7 @@
 			continue
 		}
 		begin := clock.Now()
-		err := d.call(ctx, term, func(ctx context.Context) error {
+		err := d.callPlatform(ctx, term, func(ctx context.Context) error {
 			return d.platform.Usage(ctx, d.settings.Name, term.Token, w.Number, w.Counts)
 		})
 		after := clock.Since(begin)
@@ -311,16 +313,16 @@
 			continue
 		}
 		backoff.Reset()
-		d.ledger.Sent(w.Number)
+		d.ledger.MarkSent(w.Number)
 		d.log.Info("usage reported", "window", w.Number, "token", term.Token, "teams", len(w.Counts), "requests", w.Requests(), "late_ms", d.ledger.Age(begin, w.Number).Milliseconds(),
 			"ms", after.Milliseconds(), "refused", err != nil)
 	}
 }
 
 // call makes a call to the platform that ends before the term does, and notes whether the platform can be called.
-func (d *Duties) call(ctx context.Context, term lease.Term, f func(ctx context.Context) error) error {
+func (d *Duties) callPlatform(ctx context.Context, term lease.Term, f func(ctx context.Context) error) error {
 	now := clock.Now()
-	left := min(term.Until.Sub(now), callMost)
+	left := min(term.Until.Sub(now), maxCallTime)
 	if left <= 0 {
 		return errNotHolder
 	}
@@ -330,10 +332,10 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch {
-	case err == nil || errors.Is(err, ErrNone) || errors.Is(err, ErrRefused):
-		d.failing = time.Time{}
-	case d.failing.IsZero():
-		d.failing = now
+	case err == nil || errors.Is(err, ErrNoCapacity) || errors.Is(err, ErrRefused):
+		d.failingSince = time.Time{}
+	case d.failingSince.IsZero():
+		d.failingSince = now
 	}
 	return err
 }
--- a/internal/duty/hold.go
+++ b/internal/duty/hold.go
@@ -17,11 +17,11 @@
 )
 
 // hold becomes the holder when it is this node's turn, and stays it, until the context ends.
-func (d *Duties) hold(ctx context.Context) {
+func (d *Duties) runLease(ctx context.Context) {
 	var backoff pause.Backoff
 	for ctx.Err() == nil {
 		now := clock.Now()
-		wait, err := d.step(ctx, now)
+		wait, err := d.stepLease(ctx, now)
 		if err != nil && ctx.Err() == nil {
 			d.log.Warn("lease not written or read", "error", err.Error())
 			backoff.Wait(ctx)
@@ -33,87 +33,87 @@
 }
 
 // step does what is due for the lease, and returns when to look again.
-func (d *Duties) step(ctx context.Context, now time.Time) (wait time.Duration, err error) {
-	if _, holds := d.Holds(now); holds || d.resumes() {
-		return d.keep(ctx, now)
+func (d *Duties) stepLease(ctx context.Context, now time.Time) (wait time.Duration, err error) {
+	if _, holds := d.Holds(now); holds || d.canResume() {
+		return d.renewLease(ctx, now)
 	}
 	rank, ok := d.node.Rank(now)
 	switch {
-	case d.mayTry(now, rank, ok):
+	case d.mayCampaign(now, rank, ok):
 		return d.campaign(ctx, now)
 	case !ok:
-		return restPoll, nil
+		return idlePoll, nil
 	}
 	return campaignPoll, nil
 }
 
 // resumes reports whether this node's last term may go on, though it ran out: nobody has been seen to take over.
-func (d *Duties) resumes() bool {
+func (d *Duties) canResume() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return !d.releases && (d.lease.Resumes() || !d.lease.Known() && d.mine > 0 && d.told.Token == d.mine)
+	return !d.stopping && (d.lease.CanResume() || !d.lease.Known() && d.ownToken > 0 && d.lastHolder.Token == d.ownToken)
 }
 
 // mayTry reports whether it is the turn of this node, which stands ready if candidate, to become the holder: nobody has said for a
 // while that it is, and those that should before this one, as many as its rank, have had their time.
-func (d *Duties) mayTry(now time.Time, rank int, candidate bool) bool {
+func (d *Duties) mayCampaign(now time.Time, rank int, candidate bool) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !candidate || d.releases || now.Before(d.restsTo) {
-		d.aloneAt = time.Time{}
+	if !candidate || d.stopping || now.Before(d.cooldownUntil) {
+		d.noHolderSince = time.Time{}
 		return false
 	}
-	if !d.told.Free && now.Sub(d.told.SaidAt) < holderLife && d.told.Address != d.settings.PeerAddress {
-		d.aloneAt = time.Time{}
+	if !d.lastHolder.Released && now.Sub(d.lastHolder.RenewedAt) < holderTimeout && d.lastHolder.Address != d.settings.PeerAddress {
+		d.noHolderSince = time.Time{}
 		return false
 	}
-	if d.aloneAt.IsZero() {
-		d.aloneAt = now
+	if d.noHolderSince.IsZero() {
+		d.noHolderSince = now
 	}
-	return now.Sub(d.aloneAt) >= time.Duration(rank)*candidateWait
+	return now.Sub(d.noHolderSince) >= time.Duration(rank)*candidateDelay
 }
 
 // campaign reads the lease, waits it out and takes it. It returns when to try again.
 func (d *Duties) campaign(ctx context.Context, now time.Time) (wait time.Duration, err error) {
 	d.mu.Lock()
-	at, known := d.lease.MayTakeAt()
+	at, known := d.lease.AcquirableAt()
 	d.mu.Unlock()
 	if known && now.Before(at) {
-		return min(at.Sub(now), holderLife), nil
+		return min(at.Sub(now), holderTimeout), nil
 	}
-	rows, err := d.read(ctx)
+	rows, err := d.readRows(ctx)
 	if err != nil {
 		return 0, err
 	}
 	now = clock.Now()
-	if d.tookUnheard(now) {
-		return 0, d.took(rows)
+	if d.termNotBegun(now) {
+		return 0, d.beginTerm(rows)
 	}
 	d.mu.Lock()
-	at, _ = d.lease.MayTakeAt()
+	at, _ = d.lease.AcquirableAt()
 	if now.Before(at) {
 		d.mu.Unlock()
-		return min(max(at.Sub(now), campaignPoll), holderLife), nil
+		return min(max(at.Sub(now), campaignPoll), holderTimeout), nil
 	}
-	r, expect := d.lease.Take(now)
+	r, expect := d.lease.Acquire(now)
 	d.mu.Unlock()
 	if err := d.commit(ctx, r, expect, nil); err != nil {
 		return 0, err
 	}
-	return 0, d.took(rows)
+	return 0, d.beginTerm(rows)
 }
 
 // tookUnheard reports whether this node holds the lease by a write of which it has learned only now that it was done. What the
 // holder before left is still to be taken then: without it, windows that this one had settled would be counted anew.
-func (d *Duties) tookUnheard(now time.Time) bool {
+func (d *Duties) termNotBegun(now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	term, holds := d.lease.Holds(now)
-	return holds && term.Token != d.mine
+	return holds && term.Token != d.ownToken
 }
 
 // took begins a term with what the holder before left.
-func (d *Duties) took(rows []feed.Row) error {
+func (d *Duties) beginTerm(rows []feed.Row) error {
 	now := clock.Now()
 	if err := d.ledger.Load(now, rows); err != nil {
 		d.log.Error("counts of the holder before not understood", "error", err.Error())
@@ -124,22 +124,22 @@
 	if !ok {
 		return nil // It ran out meanwhile.
 	}
-	d.demand = demand{nodes: map[string]*given{}, since: now}
-	d.failing = time.Time{}
+	d.demand = demand{nodes: map[string]*nodeWork{}, since: now}
+	d.failingSince = time.Time{}
 	d.scalers = map[string]*scaling.Scaler{}
-	d.orders = ""
+	d.storedOrders = ""
 	for _, r := range rows {
 		if r.Key == keyOrders {
-			d.restore(now, r.Value)
+			d.restoreOrders(now, r.Value)
 		}
 	}
-	d.mine = term.Token
+	d.ownToken = term.Token
 	d.log.Info("duties taken", "token", term.Token, "before", d.lease.Record().Recent, "rows", len(rows))
 	return nil
 }
 
 // restore takes the orders of the holder before. The caller holds the lock.
-func (d *Duties) restore(now time.Time, value []byte) {
+func (d *Duties) restoreOrders(now time.Time, value []byte) {
 	var all []scaling.Order
 	if err := json.Unmarshal(value, &all); err != nil {
 		d.log.Error("orders of the holder before not understood", "error", err.Error())
@@ -148,7 +148,7 @@
 	for _, o := range all {
 		d.scaler(o.Pool).Restore(now, o)
 	}
-	d.orders = string(value)
+	d.storedOrders = string(value)
 }
 
 // scaler returns the scaler of a pool. The caller holds the lock.
@@ -162,7 +162,7 @@
 }
 
 // read reads all rows of the duties, as of one moment, and tells the lease.
-func (d *Duties) read(ctx context.Context) ([]feed.Row, error) {
+func (d *Duties) readRows(ctx context.Context) ([]feed.Row, error) {
 	snap, err := d.store.List(ctx, table, part)
 	if err != nil {
 		return nil, fmt.Errorf("read duties: %w", err)
@@ -180,35 +180,35 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.lease.Seen(clock.Now(), record, version)
+	d.lease.Observe(clock.Now(), record, version)
 	return snap.Rows, nil
 }
 
 // keep renews the lease and writes what is new. It returns when to do so again.
-func (d *Duties) keep(ctx context.Context, now time.Time) (wait time.Duration, err error) {
+func (d *Duties) renewLease(ctx context.Context, now time.Time) (wait time.Duration, err error) {
 	d.mu.Lock()
 	known := d.lease.Known()
-	term, holds := d.acts(now)
+	term, holds := d.activeTerm(now)
 	d.mu.Unlock()
 	if !known {
-		rows, err := d.read(ctx)
-		if err == nil && d.tookUnheard(clock.Now()) {
-			err = d.took(rows)
+		rows, err := d.readRows(ctx)
+		if err == nil && d.termNotBegun(clock.Now()) {
+			err = d.beginTerm(rows)
 		}
 		return 0, err
 	}
 	if holds {
-		d.settle(now, term)
+		d.settleWindows(now, term)
 	}
-	puts, state := d.changes(now)
-	renewEvery := time.Duration(renewShare * float64(d.settings.life()))
+	puts, state := d.pendingRows(now)
+	renewInterval := time.Duration(renewIntervalShare * float64(d.settings.leaseTTL()))
 	d.mu.Lock()
-	leaves := d.mustRelease(now)
-	if left := d.lease.Renewed().Add(renewEvery).Sub(now); len(puts) == 0 && left > 0 && !leaves {
+	mustRelease := d.mustRelease(now)
+	if left := d.lease.RenewedAt().Add(renewInterval).Sub(now); len(puts) == 0 && left > 0 && !mustRelease {
 		d.mu.Unlock()
-		return min(left, writeEvery), nil
+		return min(left, writeInterval), nil
 	}
-	if leaves {
+	if mustRelease {
 		d.mu.Unlock()
 		return 0, d.release(ctx, puts)
 	}
@@ -217,12 +217,12 @@
 	if err := d.commit(ctx, r, expect, puts); err != nil {
 		return 0, err
 	}
-	d.written(puts, state)
-	return min(writeEvery, renewEvery), nil
+	d.markWritten(puts, state)
+	return min(writeInterval, renewInterval), nil
 }
 
 // settle settles the windows that are due.
-func (d *Duties) settle(now time.Time, term lease.Term) {
+func (d *Duties) settleWindows(now time.Time, term lease.Term) {
 	for _, w := range d.ledger.Settle(now) {
 		d.log.Info("window settled", "window", w.Number, "token", term.Token, "teams", len(w.Counts), "requests", w.Requests())
 	}
@@ -231,36 +231,36 @@
 // mustRelease reports whether this node should leave the duties to another: it stops, or the platform has not
 // answered its calls for long. The caller holds the lock.
 func (d *Duties) mustRelease(now time.Time) bool {
-	if !d.failing.IsZero() && now.Sub(d.failing) > giveUpAfter {
-		d.restsTo = now.Add(restAfter)
+	if !d.failingSince.IsZero() && now.Sub(d.failingSince) > releaseAfter {
+		d.cooldownUntil = now.Add(releaseCooldown)
 		return true
 	}
-	return d.releases
+	return d.stopping
 }
 
 // changes returns the rows that differ from what is in the store, and the ledger's state that they are of.
-func (d *Duties) changes(now time.Time) (rows []feed.Row, state int64) {
-	rows, state = d.ledger.Pending(now)
+func (d *Duties) pendingRows(now time.Time) (rows []feed.Row, state int64) {
+	rows, state = d.ledger.PendingRows(now)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var all []scaling.Order
 	for _, pool := range slices.Sorted(maps.Keys(d.scalers)) { // In one order, so that the row changes with the orders alone.
 		all = append(all, d.scalers[pool].All()...)
 	}
-	if text, err := json.Marshal(all); err == nil && len(all) > 0 && string(text) != d.orders {
+	if text, err := json.Marshal(all); err == nil && len(all) > 0 && string(text) != d.storedOrders {
 		rows = append(rows, feed.Row{Key: keyOrders, Value: text})
 	}
 	return rows, state
 }
 
 // written records what is in the store now.
-func (d *Duties) written(rows []feed.Row, state int64) {
-	d.ledger.Written(state)
+func (d *Duties) markWritten(rows []feed.Row, state int64) {
+	d.ledger.MarkWritten(state)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, r := range rows {
 		if r.Key == keyOrders {
-			d.orders = string(r.Value)
+			d.storedOrders = string(r.Value)
 		}
 	}
 }
@@ -288,12 +288,12 @@
 	defer d.mu.Unlock()
 	switch {
 	case err == nil && version > 0:
-		d.lease.Written(clock.Now(), version)
+		d.lease.WriteSucceeded(clock.Now(), version)
 		return nil
 	case errors.Is(err, feed.ErrConflict):
-		d.lease.Conflict()
+		d.lease.WriteConflicted()
 	case err == nil || !errors.Is(err, feed.ErrUnavailable):
-		d.lease.Unknown()
+		d.lease.WriteUncertain()
 	}
 	if err == nil {
 		return errors.New("the store did not tell the row's version")
@@ -305,20 +305,20 @@
 func (d *Duties) release(ctx context.Context, rows []feed.Row) error {
 	d.mu.Lock()
 	r, expect := d.lease.Release(clock.Now())
-	d.mine = 0
+	d.ownToken = 0
 	d.mu.Unlock()
 	d.log.Info("duties released", "token", r.Token)
 	if err := d.commit(ctx, r, expect, rows); err != nil {
 		return err
 	}
-	d.Hear(Holder{Token: r.Token, Free: true})
+	d.ObserveHolder(Holder{Token: r.Token, Released: true})
 	return nil
 }
 
 // Stop hands the duties over: this node becomes the holder no more, and leaves them if it is.
 func (d *Duties) Stop() {
 	d.mu.Lock()
-	d.releases = true
+	d.stopping = true
 	d.mu.Unlock()
 	select {
 	case d.wake <- struct{}{}:
--- a/internal/duty/orders.go
+++ b/internal/duty/orders.go
@@ -13,53 +13,53 @@
 const (
 	// ordersEvery is how often the holder looks at the load and the engines: engines that leave say so some 2.5 s
 	// before, and start in four.
-	ordersEvery = 250 * time.Millisecond
+	orderInterval = 250 * time.Millisecond
 
 	// demandOver is over how long the load is measured: requests come in clumps, of which half a second may have three
 	// times as many as the next.
-	demandOver = 2 * time.Second
+	demandWindow = 2 * time.Second
 
 	// givenLife is how long what a node told of its work counts.
-	givenLife = 3 * time.Second
+	nodeWorkTTL = 3 * time.Second
 )
 
 type (
 	// demand is what engines are given to read, over all nodes.
 	demand struct {
 		since time.Time // since is when this node became the holder.
-		nodes map[string]*given
+		nodes map[string]*nodeWork
 	}
 
 	// given is the work of one node.
-	given struct {
+	nodeWork struct {
 		at, beforeAt time.Time
 		work, before map[string]scaling.Demand
 	}
 )
 
 // take takes what a node told of its work since its start.
-func (d *demand) take(now time.Time, node string, work map[string]scaling.Demand) {
+func (d *demand) update(now time.Time, node string, work map[string]scaling.Demand) {
 	g := d.nodes[node]
 	if g == nil {
-		d.nodes[node] = &given{at: now, beforeAt: now, work: work, before: work}
+		d.nodes[node] = &nodeWork{at: now, beforeAt: now, work: work, before: work}
 		return
 	}
-	if now.Sub(g.at) >= demandOver/2 {
+	if now.Sub(g.at) >= demandWindow/2 {
 		g.before, g.beforeAt = g.work, g.at
 		g.work, g.at = work, now
 	}
 }
 
 // of returns how many engines of a pool are kept busy with what was told lately.
-func (d *demand) of(now time.Time, pool string) (sum scaling.Demand) {
+func (d *demand) pool(now time.Time, pool string) (sum scaling.Demand) {
 	for name, g := range d.nodes {
-		over := g.at.Sub(g.beforeAt)
+		elapsed := g.at.Sub(g.beforeAt)
 		switch {
-		case now.Sub(g.at) > givenLife:
+		case now.Sub(g.at) > nodeWorkTTL:
 			delete(d.nodes, name)
-		case over > 0:
-			sum.All += max(0, g.work[pool].All-g.before[pool].All) / float64(over.Milliseconds())
-			sum.Upper += max(0, g.work[pool].Upper-g.before[pool].Upper) / float64(over.Milliseconds())
+		case elapsed > 0:
+			sum.All += max(0, g.work[pool].All-g.before[pool].All) / float64(elapsed.Milliseconds())
+			sum.Upper += max(0, g.work[pool].Upper-g.before[pool].Upper) / float64(elapsed.Milliseconds())
 		}
 	}
 	return sum
@@ -68,15 +68,15 @@
 // orderEngines orders engines while this node is the holder, until the context ends.
 func (d *Duties) orderEngines(ctx context.Context) {
 	var backoff pause.Backoff
-	for pause.For(ctx, ordersEvery) {
+	for pause.For(ctx, orderInterval) {
 		now := clock.Now()
 		if _, ok := d.Holds(now); !ok {
-			pause.For(ctx, restPoll)
+			pause.For(ctx, idlePoll)
 			continue
 		}
 		for _, p := range d.node.Pools(now) {
 			for _, o := range d.decide(now, p) {
-				if err := d.order(ctx, o); err != nil {
+				if err := d.placeOrder(ctx, o); err != nil {
 					backoff.Wait(ctx)
 					break
 				}
@@ -91,18 +91,18 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	s := d.scaler(p.Name)
-	s.Note(now, d.demand.of(now, p.Name))
+	s.Note(now, d.demand.pool(now, p.Name))
 	return s.Decide(now, p.Limits, p.Halls)
 }
 
 // order makes one order. An error says that the platform could not be called.
-func (d *Duties) order(ctx context.Context, o scaling.Order) error {
+func (d *Duties) placeOrder(ctx context.Context, o scaling.Order) error {
 	begin := clock.Now()
 	term, ok := d.Holds(begin)
 	if !ok {
 		return errNotHolder
 	}
-	err := d.call(ctx, term, func(ctx context.Context) error { return d.platform.Order(ctx, d.settings.Name, term.Token, o) })
+	err := d.callPlatform(ctx, term, func(ctx context.Context) error { return d.platform.Order(ctx, d.settings.Name, term.Token, o) })
 	now := clock.Now()
 	d.mu.Lock()
 	s := d.scaler(o.Pool)
@@ -110,7 +110,7 @@
 	switch {
 	case err == nil:
 		s.Ordered(now, o)
-	case errors.Is(err, ErrNone), errors.Is(err, ErrRefused):
+	case errors.Is(err, ErrNoCapacity), errors.Is(err, ErrRefused):
 		s.Refused(now, o)
 	}
 	d.mu.Unlock()
@@ -119,7 +119,7 @@
 		return nil
 	}
 	d.log.Warn("engines not ordered", "pool", o.Pool, "hall", o.Hall, "spot", o.Spot, "count", o.Count, "need", need, "token", term.Token, "ms", now.Sub(begin).Milliseconds(), "error", err.Error())
-	if errors.Is(err, ErrNone) || errors.Is(err, ErrRefused) {
+	if errors.Is(err, ErrNoCapacity) || errors.Is(err, ErrRefused) {
 		return nil
 	}
 	return err
--- a/internal/duty/rig_test.go
+++ b/internal/duty/rig_test.go
@@ -16,36 +16,36 @@
 )
 
 const (
-	apart  = 600 * time.Millisecond
-	window = 500 * time.Millisecond
-	late   = 3 * time.Second
+	returnDelay = 600 * time.Millisecond
+	window      = 500 * time.Millisecond
+	dueAfter    = 3 * time.Second
 )
 
 type (
 	// memory is the platform: its store, which may lose answers or turn a node away, and what it was called with.
-	memory struct {
-		mu      sync.Mutex
-		rows    map[string]feed.Row
-		version int64
-		lose    bool            // lose says that writes are done and not answered.
-		away    map[string]bool // away holds the nodes that can't call the store.
-		gone    map[string]bool // gone holds the nodes of which the others see that they stop or are silent.
-		dead    map[string]bool // dead holds the nodes whose calls the platform's API does not answer.
+	fakePlatform struct {
+		mu          sync.Mutex
+		rows        map[string]feed.Row
+		version     int64
+		dropAnswers bool            // lose says that writes are done and not answered.
+		storeDown   map[string]bool // away holds the nodes that can't call the store.
+		stopped     map[string]bool // gone holds the nodes of which the others see that they stop or are silent.
+		apiDown     map[string]bool // dead holds the nodes whose calls the platform's API does not answer.
 
 		reports map[int64][]string // reports holds, by window, what was reported.
-		acts    []act
+		calls   []platformCall
 	}
 
 	// act is a call of a holder.
-	act struct {
+	platformCall struct {
 		holder string
 		token  int64
 		at     time.Time
 	}
 
 	// view is the platform as one node sees it.
-	view struct {
-		*memory
+	platformView struct {
+		*fakePlatform
 		name string
 	}
 
@@ -53,23 +53,23 @@
 	nodes map[string]*Duties
 
 	// part of a node that the duties see.
-	plainNode struct {
-		memory *memory
+	fakeNode struct {
+		memory *fakePlatform
 		index  int
 	}
 )
 
-var errAway = errors.New("away")
+var errDown = errors.New("away")
 
-func newMemory() *memory {
-	return &memory{rows: map[string]feed.Row{}, away: map[string]bool{}, gone: map[string]bool{}, dead: map[string]bool{}, reports: map[int64][]string{}}
+func newFakePlatform() *fakePlatform {
+	return &fakePlatform{rows: map[string]feed.Row{}, storeDown: map[string]bool{}, stopped: map[string]bool{}, apiDown: map[string]bool{}, reports: map[int64][]string{}}
 }
 
-func (m view) List(context.Context, string, string) (feed.Snapshot, error) {
+func (m platformView) List(context.Context, string, string) (feed.Snapshot, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.away[m.name] {
-		return feed.Snapshot{}, errAway
+	if m.storeDown[m.name] {
+		return feed.Snapshot{}, errDown
 	}
 	snap := feed.Snapshot{Version: m.version}
 	for _, r := range m.rows {
@@ -78,11 +78,11 @@
 	return snap, nil
 }
 
-func (m view) Commit(_ context.Context, tx feed.Tx) (int64, error) {
+func (m platformView) Commit(_ context.Context, tx feed.Tx) (int64, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.away[m.name] {
-		return 0, fmt.Errorf("%w: %w", errAway, feed.ErrUnavailable)
+	if m.storeDown[m.name] {
+		return 0, fmt.Errorf("%w: %w", errDown, feed.ErrUnavailable)
 	}
 	for _, r := range tx.Expect {
 		if m.rows[r.Key].Version != r.Version {
@@ -97,71 +97,71 @@
 	for _, r := range tx.Delete {
 		delete(m.rows, r.Key)
 	}
-	if m.lose {
+	if m.dropAnswers {
 		return 0, fmt.Errorf("answer lost: %w", feed.ErrUncertain)
 	}
 	return m.version, nil
 }
 
-func (m view) Usage(ctx context.Context, holder string, token, window int64, counts map[string]int) error {
+func (m platformView) Usage(ctx context.Context, holder string, token, window int64, counts map[string]int) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.dead[m.name] {
-		return errAway
+	if m.apiDown[m.name] {
+		return errDown
 	}
-	m.acts = append(m.acts, act{holder, token, time.Now()})
+	m.calls = append(m.calls, platformCall{holder, token, time.Now()})
 	m.reports[window] = append(m.reports[window], fmt.Sprint(counts))
 	return nil
 }
 
-func (m view) Order(context.Context, string, int64, scaling.Order) error { return nil }
+func (m platformView) Order(context.Context, string, int64, scaling.Order) error { return nil }
 
 func (n nodes) Call(ctx context.Context, address, _ string, params, result any) error {
 	d := n[address]
 	if d == nil {
-		return errAway
+		return errDown
 	}
-	got, err := d.TakeCounts(ctx, params.(*usage.Report))
+	got, err := d.HandleCounts(ctx, params.(*usage.Report))
 	if err == nil {
 		*result.(*usage.Ack) = got.(usage.Ack)
 	}
 	return err
 }
 
-func (n plainNode) Rank(time.Time) (rank int, ok bool) {
+func (n fakeNode) Rank(time.Time) (rank int, ok bool) {
 	n.memory.mu.Lock()
 	defer n.memory.mu.Unlock()
 	for i := range n.index {
-		if !n.memory.gone[fmt.Sprint("n", i)] {
+		if !n.memory.stopped[fmt.Sprint("n", i)] {
 			rank++
 		}
 	}
 	return rank, true
 }
-func (plainNode) Pools(time.Time) []Pool          { return nil }
-func (plainNode) Work() map[string]scaling.Demand { return nil }
+func (fakeNode) Pools(time.Time) []Pool          { return nil }
+func (fakeNode) Work() map[string]scaling.Demand { return nil }
 
 // rig is some nodes that run.
-type rig struct {
-	t      *testing.T
-	memory *memory
-	nodes  nodes
-	ends   map[string]func() // ends kills a node.
+type testCluster struct {
+	t        *testing.T
+	platform *fakePlatform
+	nodes    nodes
+	kill     map[string]func() // ends kills a node.
 }
 
 // newRig starts nodes, of which the first is the first choice.
-func newRig(t *testing.T, count int) *rig {
-	r := &rig{t: t, memory: newMemory(), nodes: nodes{}, ends: map[string]func(){}}
+func newTestCluster(t *testing.T, count int) *testCluster {
+	r := &testCluster{t: t, platform: newFakePlatform(), nodes: nodes{}, kill: map[string]func(){}}
 	made := make([]*Duties, count)
 	for i := range count {
 		name := fmt.Sprint("n", i)
-		made[i] = New(time.Now(), Settings{Name: name, Process: name, PeerAddress: name, Apart: apart, Window: window, Late: late, Usage: true},
-			view{r.memory, name}, view{r.memory, name}, r.nodes, plainNode{r.memory, i}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		made[i] = New(time.Now(), Settings{Name: name, ProcessID: name, PeerAddress: name, ReturnDelay: returnDelay, Window: window, DueAfter: dueAfter, Usage: true},
+			platformView{r.platform, name}, platformView{r.platform, name}, r.nodes, fakeNode{r.platform, i}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		r.nodes[name] = made[i]
 	}
-	told, stop := context.WithCancel(context.Background())
+	ctx, stop := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
-	wg.Go(func() { r.gossip(told, made) })
+	wg.Go(func() { r.gossip(ctx, made) })
 	for i, d := range made {
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan struct{})
@@ -169,7 +169,7 @@
 			defer close(ended)
 			d.Run(ctx)
 		}()
-		r.ends[fmt.Sprint("n", i)] = sync.OnceFunc(func() {
+		r.kill[fmt.Sprint("n", i)] = sync.OnceFunc(func() {
 			cancel()
 			<-ended
 		})
@@ -177,7 +177,7 @@
 	t.Cleanup(func() {
 		stop()
 		wg.Wait()
-		for _, end := range r.ends {
+		for _, end := range r.kill {
 			end()
 		}
 	})
@@ -185,7 +185,7 @@
 }
 
 // gossip tells all nodes who holds the duties.
-func (r *rig) gossip(ctx context.Context, all []*Duties) {
+func (r *testCluster) gossip(ctx context.Context, all []*Duties) {
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
 	for {
@@ -196,11 +196,11 @@
 			for _, from := range all {
 				term, ok := from.Holds(now)
 				for _, to := range all {
-					if h := from.Holder(now); to != from && h.Free {
-						to.Hear(h)
+					if h := from.Holder(now); to != from && h.Released {
+						to.ObserveHolder(h)
 					}
 					if ok && to != from {
-						to.Hear(Holder{Token: term.Token, Address: from.settings.PeerAddress, SaidAt: now})
+						to.ObserveHolder(Holder{Token: term.Token, Address: from.settings.PeerAddress, RenewedAt: now})
 					}
 				}
 			}
@@ -209,7 +209,7 @@
 }
 
 // holder waits until one of some nodes holds the duties.
-func (r *rig) holder(names ...string) string {
+func (r *testCluster) holder(names ...string) string {
 	r.t.Helper()
 	for deadline := time.Now().Add(8 * time.Second); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
 		for _, name := range names {
@@ -223,7 +223,7 @@
 }
 
 // began lets an engine begin requests that nodes sent, for a while, and returns how many.
-func (r *rig) began(d time.Duration, names ...string) int {
+func (r *testCluster) countRequests(d time.Duration, names ...string) int {
 	n := 0
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		for _, name := range names {
@@ -235,13 +235,13 @@
 }
 
 // reported waits until some requests were reported, and checks that no window was reported in two ways.
-func (r *rig) reported(want int) {
+func (r *testCluster) waitReported(want int) {
 	r.t.Helper()
 	got := 0
 	for deadline := time.Now().Add(8 * time.Second); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
 		got = 0
-		r.memory.mu.Lock()
-		for window, all := range r.memory.reports {
+		r.platform.mu.Lock()
+		for window, all := range r.platform.reports {
 			n := 0
 			fmt.Sscanf(all[0], "map[team:%d]", &n)
 			got += n
@@ -251,7 +251,7 @@
 				}
 			}
 		}
-		r.memory.mu.Unlock()
+		r.platform.mu.Unlock()
 		if got >= want {
 			break
 		}
@@ -259,22 +259,22 @@
 	if got != want {
 		r.t.Errorf("%d requests were reported, want %d", got, want)
 	}
-	r.checkActs()
+	r.checkCalls()
 }
 
 // checkActs checks that tokens never fall, that none is of two holders, and that no holder comes back within Apart.
-func (r *rig) checkActs() {
+func (r *testCluster) checkCalls() {
 	r.t.Helper()
-	r.memory.mu.Lock()
-	defer r.memory.mu.Unlock()
-	for i, a := range r.memory.acts {
+	r.platform.mu.Lock()
+	defer r.platform.mu.Unlock()
+	for i, a := range r.platform.calls {
 		other := false
-		for _, b := range r.memory.acts[i+1:] {
+		for _, b := range r.platform.calls[i+1:] {
 			other = other || b.holder != a.holder
 			switch {
 			case b.token < a.token, b.token == a.token && b.holder != a.holder:
 				r.t.Errorf("%+v after %+v", b, a)
-			case b.holder == a.holder && other && b.at.Sub(a.at) < apart:
+			case b.holder == a.holder && other && b.at.Sub(a.at) < returnDelay:
 				r.t.Errorf("%s acted again after %v, with another between", a.holder, b.at.Sub(a.at))
 			}
 		}
@@ -282,17 +282,17 @@
 }
 
 // set marks a node.
-func (m *memory) set(of map[string]bool, name string) {
+func (m *fakePlatform) mark(of map[string]bool, name string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	of[name] = true
 }
 
 // acknowledged waits until what nodes counted is in the store.
-func (r *rig) acknowledged(names ...string) {
+func (r *testCluster) waitStored(names ...string) {
 	r.t.Helper()
 	for _, name := range names {
-		for deadline := time.Now().Add(5 * time.Second); r.nodes[name].Counter.Unkept() > 0; time.Sleep(5 * time.Millisecond) {
+		for deadline := time.Now().Add(5 * time.Second); r.nodes[name].Counter.UnstoredBatches() > 0; time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(deadline) {
 				r.t.Fatalf("counts of %s are not in the store", name)
 			}
@@ -301,8 +301,8 @@
 }
 
 // loseAnswers says whether answers to writes are lost.
-func (m *memory) loseAnswers(lose bool) {
+func (m *fakePlatform) loseAnswers(lose bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.lose = lose
+	m.dropAnswers = lose
 }
--- a/internal/duty/shown.go
+++ b/internal/duty/shown.go
@@ -8,21 +8,21 @@
 )
 
 // Shown is what operators are shown. Windows and orders are known at the holder alone.
-type Shown struct {
-	Holder  Holder
-	Before  []string // Before are the holders before, the newest last, as this node last read them.
-	Windows []usage.Window
-	Orders  []scaling.Order
-	Need    map[string]int // Need is, by pool, how many engines the load needs.
+type Status struct {
+	Holder          Holder
+	PreviousHolders []string // Before are the holders before, the newest last, as this node last read them.
+	Windows         []usage.Window
+	Orders          []scaling.Order
+	Need            map[string]int // Need is, by pool, how many engines the load needs.
 }
 
 // Shown returns what operators are shown.
-func (d *Duties) Shown(now time.Time) Shown {
-	out := Shown{Holder: d.Holder(now), Need: map[string]int{}}
-	out.Windows, _ = d.ledger.Shown()
+func (d *Duties) Status(now time.Time) Status {
+	out := Status{Holder: d.Holder(now), Need: map[string]int{}}
+	out.Windows, _ = d.ledger.RecentWindows()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	out.Before = d.lease.Record().Recent
+	out.PreviousHolders = d.lease.Record().Recent
 	for pool, s := range d.scalers {
 		out.Orders = append(out.Orders, s.All()...)
 		out.Need[pool] = s.Need(now)
--- a/internal/edge/duties.go
+++ b/internal/edge/duties.go
@@ -36,11 +36,11 @@
 	}
 	e.dutyCalls = platform.NewDuties(s.DutiesAddress)
 	d := duty.New(now, duty.Settings{
-		Name: s.Instance, Process: fmt.Sprintf("%s/%x", s.Instance, clock.Wall(now).UnixNano()), PeerAddress: s.PeerAddress,
-		Apart: ms(s.LeaseMs), Window: ms(s.UsageWindowMs), Late: ms(s.UsageLateMs),
+		Name: s.Instance, ProcessID: fmt.Sprintf("%s/%x", s.Instance, clock.Wall(now).UnixNano()), PeerAddress: s.PeerAddress,
+		ReturnDelay: ms(s.LeaseMs), Window: ms(s.UsageWindowMs), DueAfter: ms(s.UsageLateMs),
 		Usage: slices.Contains(s.Duties, settings.SettingsDutiesElemUsage), Scaling: slices.Contains(s.Duties, settings.SettingsDutiesElemScaling),
 	}, e.store, e.dutyCalls, e.calls, dutyNode{e}, e.log)
-	e.peers.Handle(duty.MethodUsage, peer.Typed(d.TakeCounts))
+	e.peers.Handle(duty.MethodUsage, peer.Typed(d.HandleCounts))
 	e.metrics.usage = d.Counter
 	return d
 }
@@ -93,10 +93,10 @@
 		return gossip.Holder{}
 	}
 	h := e.duties.Holder(now)
-	if h.Free {
+	if h.Released {
 		return gossip.Holder{Token: h.Token, Address: h.Address, AgeMs: -1}
 	}
-	if age := now.Sub(h.SaidAt); h.Token > 0 && age <= holderTold {
+	if age := now.Sub(h.RenewedAt); h.Token > 0 && age <= holderTold {
 		return gossip.Holder{Token: h.Token, Address: h.Address, AgeMs: age.Milliseconds()}
 	}
 	return gossip.Holder{}
@@ -105,7 +105,7 @@
 // hearHolder takes what a peer tells of who holds the duties.
 func (e *Edge) hearHolder(now time.Time, h gossip.Holder) {
 	if e.duties != nil && h.Token > 0 {
-		e.duties.Hear(duty.Holder{Token: h.Token, Address: h.Address, SaidAt: now.Add(-ms(int(max(h.AgeMs, 0)))), Free: h.AgeMs < 0})
+		e.duties.ObserveHolder(duty.Holder{Token: h.Token, Address: h.Address, RenewedAt: now.Add(-ms(int(max(h.AgeMs, 0)))), Released: h.AgeMs < 0})
 	}
 }
 
@@ -114,10 +114,10 @@
 	if e.duties == nil {
 		return nil
 	}
-	s := e.duties.Shown(now)
+	s := e.duties.Status(now)
 	rows := []wire.Row{{
-		Name: "holder", Node: s.Holder.Address, Count: int(s.Holder.Token), AgeMs: int(now.Sub(s.Holder.SaidAt).Milliseconds()),
-		Reason: fmt.Sprintf("term %d; holders before: %v", s.Holder.Token, s.Before), State: map[bool]string{true: "given up", false: "held"}[s.Holder.Free],
+		Name: "holder", Node: s.Holder.Address, Count: int(s.Holder.Token), AgeMs: int(now.Sub(s.Holder.RenewedAt).Milliseconds()),
+		Reason: fmt.Sprintf("term %d; holders before: %v", s.Holder.Token, s.PreviousHolders), State: map[bool]string{true: "given up", false: "held"}[s.Holder.Released],
 	}}
 	for _, w := range s.Windows {
 		state := "open"
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -17,22 +17,22 @@
 const (
 	// recentMost is how many former holders are remembered in the row: more than can follow each other within Apart,
 	// since each take-over without a release takes as long as a lease.
-	recentMost = 8
+	maxRecentHolders = 8
 
 	// pendingMost is how many writes of unknown outcome are remembered; each is made after the row was read again.
-	pendingMost = 8
+	maxPendingWrites = 8
 
 	// firstWrites bounds the number of the first write, which is drawn by chance: a write of an earlier process of the
 	// same node may still be done.
-	firstWrites = 1 << 40
+	maxInitialWriteID = 1 << 40
 )
 
 type (
 	// Terms are what all nodes agree on.
-	Terms struct {
-		Life   time.Duration // Life is how long a holder may act after it sent its last renewal.
-		Margin time.Duration // Margin is what a take-over waits beyond Life, for calls of the former holder that are on their way.
-		Apart  time.Duration // Apart is the least time between two terms of one node with another's between them.
+	Timing struct {
+		TTL         time.Duration // Life is how long a holder may act after it sent its last renewal.
+		Margin      time.Duration // Margin is what a take-over waits beyond Life, for calls of the former holder that are on their way.
+		ReturnDelay time.Duration // Apart is the least time between two terms of one node with another's between them.
 	}
 
 	// Record is the content of the row.
@@ -40,7 +40,7 @@
 		Holder   string   `json:"holder"`
 		Address  string   `json:"address"` // Address is where peers call the holder.
 		Token    int64    `json:"token"`   // Token rises by one with each term; no two terms have the same.
-		Write    int64    `json:"write"`   // Write tells this write from all others, also of the same term.
+		WriteID  int64    `json:"write"`   // Write tells this write from all others, also of the same term.
 		Released bool     `json:"released,omitempty"`
 		Recent   []string `json:"recent,omitempty"` // Recent are the holders before, the newest last.
 	}
@@ -55,20 +55,20 @@
 	Lease struct {
 		self    string
 		address string
-		terms   Terms
-
-		known    bool // known says that record is what the row held at version.
-		record   Record
-		version  int64
-		seenAt   time.Time // seenAt is when the row was first seen as it is.
-		holderAt time.Time // holderAt is when the present term was first seen.
-
-		token   int64     // token is of this node's present term; 0 for none.
-		last    int64     // last is the token of this process's last term; 0 for none, or once it was released.
-		renewed time.Time // renewed is when the write was sent by which the present term is as long as it is.
-		until   time.Time // until is the end of it.
-		writes  int64     // writes is the number of the newest write.
-		pending []pending // pending are writes that were not seen to be done yet, the newest last.
+		timing  Timing
+
+		known      bool // known says that record is what the row held at version.
+		record     Record
+		version    int64
+		rowSeenAt  time.Time // seenAt is when the row was first seen as it is.
+		termSeenAt time.Time // holderAt is when the present term was first seen.
+
+		token       int64     // token is of this node's present term; 0 for none.
+		lastToken   int64     // last is the token of this process's last term; 0 for none, or once it was released.
+		renewedAt   time.Time // renewed is when the write was sent by which the present term is as long as it is.
+		until       time.Time // until is the end of it.
+		lastWriteID int64     // writes is the number of the newest write.
+		pending     []pending // pending are writes that were not seen to be done yet, the newest last.
 	}
 
 	// pending is a write whose outcome may be unknown.
@@ -79,8 +79,8 @@
 )
 
 // New returns the view of a node that has not read the row yet; peers call it at an address.
-func New(self, address string, terms Terms) *Lease {
-	return &Lease{self: self, address: address, terms: terms, writes: rand.Int64N(firstWrites)}
+func New(self, address string, timing Timing) *Lease {
+	return &Lease{self: self, address: address, timing: timing, lastWriteID: rand.Int64N(maxInitialWriteID)}
 }
 
 // Holds returns the term in which this node may act at a moment.
@@ -89,12 +89,12 @@
 }
 
 // Renewed returns when the last renewal that is known to be done was sent.
-func (l *Lease) Renewed() time.Time { return l.renewed }
+func (l *Lease) RenewedAt() time.Time { return l.renewedAt }
 
 // Resumes reports whether this node may make its last term, which ran out, longer: the row is as it left it. A renewal that
 // is done then proves that nobody held the lease meanwhile.
-func (l *Lease) Resumes() bool {
-	return l.known && l.last > 0 && l.record.Token == l.last && l.record.Holder == l.self && !l.record.Released
+func (l *Lease) CanResume() bool {
+	return l.known && l.lastToken > 0 && l.record.Token == l.lastToken && l.record.Holder == l.self && !l.record.Released
 }
 
 // Record returns what the row held when it was last seen.
@@ -102,90 +102,90 @@
 
 // Seen takes the row as it was read after a moment; version 0 says that there is none. A write of this node whose
 // answer was lost shows here.
-func (l *Lease) Seen(now time.Time, r Record, version int64) {
+func (l *Lease) Observe(now time.Time, r Record, version int64) {
 	if !l.known || version != l.version {
-		l.seenAt = now
+		l.rowSeenAt = now
 	}
 	if !l.known || r.Token != l.record.Token {
-		l.holderAt = now
+		l.termSeenAt = now
 	}
 	l.known, l.record, l.version = true, r, version
-	switch at := slices.IndexFunc(l.pending, func(p pending) bool { return p.record.Write == r.Write }); {
+	switch at := slices.IndexFunc(l.pending, func(p pending) bool { return p.record.WriteID == r.WriteID }); {
 	case at >= 0 && r.Holder == l.self && !r.Released:
-		l.confirm(l.pending[at])
+		l.confirmWrite(l.pending[at])
 		l.pending = l.pending[at+1:]
-	case r.Token != l.last || r.Holder != l.self || r.Released:
+	case r.Token != l.lastToken || r.Holder != l.self || r.Released:
 		l.token = 0
-	case l.last > 0:
-		l.token = l.last // A conflict was with a write of this node's own.
+	case l.lastToken > 0:
+		l.token = l.lastToken // A conflict was with a write of this node's own.
 	}
 }
 
 // MayTakeAt returns when this node may write itself as the holder; ok is false where the row is not known.
-func (l *Lease) MayTakeAt() (at time.Time, ok bool) {
+func (l *Lease) AcquirableAt() (at time.Time, ok bool) {
 	if !l.known {
 		return time.Time{}, false
 	}
-	at = l.seenAt
+	at = l.rowSeenAt
 	if l.version > 0 && !l.record.Released {
-		at = at.Add(l.terms.Life + l.terms.Margin)
+		at = at.Add(l.timing.TTL + l.timing.Margin)
 	}
 	if l.record.Holder != l.self && slices.Contains(l.record.Recent, l.self) {
-		at = later(at, l.holderAt.Add(l.terms.Apart+l.terms.Margin))
+		at = later(at, l.termSeenAt.Add(l.timing.ReturnDelay+l.timing.Margin))
 	}
 	return at, true
 }
 
 // Take returns the write that begins a term of this node, which is sent at a moment not before MayTakeAt.
-func (l *Lease) Take(now time.Time) (r Record, expect int64) {
+func (l *Lease) Acquire(now time.Time) (r Record, expect int64) {
 	recent := append(slices.Clone(l.record.Recent), l.record.Holder)
 	recent = slices.DeleteFunc(recent, func(name string) bool { return name == l.self || name == "" })
-	recent = recent[max(0, len(recent)-recentMost):]
-	return l.send(now, Record{Holder: l.self, Address: l.address, Token: l.record.Token + 1, Recent: recent})
+	recent = recent[max(0, len(recent)-maxRecentHolders):]
+	return l.newWrite(now, Record{Holder: l.self, Address: l.address, Token: l.record.Token + 1, Recent: recent})
 }
 
 // Renew returns the write that makes this node's term longer, which is sent at a moment.
 func (l *Lease) Renew(now time.Time) (r Record, expect int64) {
-	return l.send(now, l.record)
+	return l.newWrite(now, l.record)
 }
 
 // Release ends this node's term at once and returns the write that tells so.
 func (l *Lease) Release(now time.Time) (r Record, expect int64) {
-	l.token, l.last = 0, 0
+	l.token, l.lastToken = 0, 0
 	r = l.record
 	r.Released = true
-	return l.send(now, r)
+	return l.newWrite(now, r)
 }
 
 // send remembers a write.
-func (l *Lease) send(now time.Time, r Record) (Record, int64) {
-	l.writes++
-	r.Write = l.writes
+func (l *Lease) newWrite(now time.Time, r Record) (Record, int64) {
+	l.lastWriteID++
+	r.WriteID = l.lastWriteID
 	l.pending = append(l.pending, pending{record: r, sent: now})
-	l.pending = l.pending[max(0, len(l.pending)-pendingMost):]
+	l.pending = l.pending[max(0, len(l.pending)-maxPendingWrites):]
 	return r, l.version
 }
 
 // Written says that the newest write was done, and of which version the row is now.
-func (l *Lease) Written(now time.Time, version int64) {
-	l.Seen(now, l.pending[len(l.pending)-1].record, version)
+func (l *Lease) WriteSucceeded(now time.Time, version int64) {
+	l.Observe(now, l.pending[len(l.pending)-1].record, version)
 }
 
 // Conflict says that the newest write was not done, since the row had changed. Until it is read again this node
 // neither acts nor writes: another may hold the lease.
-func (l *Lease) Conflict() { l.known, l.token = false, 0 }
+func (l *Lease) WriteConflicted() { l.known, l.token = false, 0 }
 
 // Unknown says that the outcome of the newest write is not known: the row is read before the next one. The term
 // goes on until its end.
-func (l *Lease) Unknown() { l.known = false }
+func (l *Lease) WriteUncertain() { l.known = false }
 
 // Known reports whether the row is known, so that a write may be tried.
 func (l *Lease) Known() bool { return l.known }
 
 // confirm begins or lengthens this node's term: a write was done. The term counts from when that was sent.
-func (l *Lease) confirm(p pending) {
-	l.token, l.last = p.record.Token, p.record.Token
-	l.renewed, l.until = p.sent, p.sent.Add(l.terms.Life)
+func (l *Lease) confirmWrite(p pending) {
+	l.token, l.lastToken = p.record.Token, p.record.Token
+	l.renewedAt, l.until = p.sent, p.sent.Add(l.timing.TTL)
 }
 
 // later returns the later of two moments.
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -6,8 +6,8 @@
 )
 
 var (
-	terms = Terms{Life: 2 * time.Second, Margin: 300 * time.Millisecond, Apart: 3 * time.Second}
-	start = time.Unix(1000, 0)
+	timing = Timing{TTL: 2 * time.Second, Margin: 300 * time.Millisecond, ReturnDelay: 3 * time.Second}
+	start  = time.Unix(1000, 0)
 )
 
 // at returns a moment some milliseconds after the start.
@@ -31,11 +31,11 @@
 
 // TestALeaseCountsFromTheSending holds that a term ends its life after its renewal was sent, not after the
 // answer came, and that a renewal whose answer was lost counts once it is seen.
-func TestALeaseCountsFromTheSending(t *testing.T) {
-	s, l := &store{}, New("a", "a:1", terms)
-	l.Seen(at(0), s.record, s.version)
-	s.write(l.Take(at(10)))
-	l.Written(at(900), s.version)
+func TestTermStartsWhenTheWriteIsSent(t *testing.T) {
+	s, l := &store{}, New("a", "a:1", timing)
+	l.Observe(at(0), s.record, s.version)
+	s.write(l.Acquire(at(10)))
+	l.WriteSucceeded(at(900), s.version)
 	if _, ok := l.Holds(at(2009)); !ok {
 		t.Error("the term ended before its life")
 	}
@@ -43,11 +43,11 @@
 		t.Error("the term goes on after its life, counted from the sending")
 	}
 	s.write(l.Renew(at(1500)))
-	l.Unknown()
+	l.WriteUncertain()
 	if _, ok := l.Holds(at(2011)); ok {
 		t.Error("a renewal of unknown outcome counts")
 	}
-	l.Seen(at(1900), s.record, s.version)
+	l.Observe(at(1900), s.record, s.version)
 	if _, ok := l.Holds(at(3499)); !ok {
 		t.Error("a renewal that was done does not count, since its answer was lost")
 	}
@@ -58,35 +58,35 @@
 
 // TestATakeOverWaitsTheLeaseOut holds that a row must have been seen unchanged for a life and a margin, that a
 // renewal begins that anew, and that a released one is free at once.
-func TestATakeOverWaitsTheLeaseOut(t *testing.T) {
-	s, a, b := &store{}, New("a", "", terms), New("b", "", terms)
-	a.Seen(at(0), s.record, s.version)
-	s.write(a.Take(at(0)))
-	a.Written(at(5), s.version)
-	b.Seen(at(100), s.record, s.version)
-	if from, ok := b.MayTakeAt(); !ok || from != at(2400) {
+func TestTakeoverWaitsForExpiry(t *testing.T) {
+	s, a, b := &store{}, New("a", "", timing), New("b", "", timing)
+	a.Observe(at(0), s.record, s.version)
+	s.write(a.Acquire(at(0)))
+	a.WriteSucceeded(at(5), s.version)
+	b.Observe(at(100), s.record, s.version)
+	if from, ok := b.AcquirableAt(); !ok || from != at(2400) {
 		t.Errorf("b may take over from %v on, want 2.4 s", from.Sub(start))
 	}
-	stale, expect := b.Take(at(2400))
+	stale, expect := b.Acquire(at(2400))
 	s.write(a.Renew(at(1000)))
-	a.Written(at(1005), s.version)
+	a.WriteSucceeded(at(1005), s.version)
 	if s.write(stale, expect) {
 		t.Error("b took over though the lease was renewed")
 	}
-	b.Conflict()
-	if _, ok := b.MayTakeAt(); ok {
+	b.WriteConflicted()
+	if _, ok := b.AcquirableAt(); ok {
 		t.Error("b may take over without having read the row")
 	}
 	s.write(a.Release(at(1500)))
 	if _, ok := a.Holds(at(1501)); ok {
 		t.Error("a acts after its release")
 	}
-	b.Seen(at(1600), s.record, s.version)
-	if from, _ := b.MayTakeAt(); from != at(1600) {
+	b.Observe(at(1600), s.record, s.version)
+	if from, _ := b.AcquirableAt(); from != at(1600) {
 		t.Errorf("b waits until %v for a lease that was released", from.Sub(start))
 	}
-	s.write(b.Take(at(1600)))
-	b.Written(at(1605), s.version)
+	s.write(b.Acquire(at(1600)))
+	b.WriteSucceeded(at(1605), s.version)
 	if term, ok := b.Holds(at(1700)); !ok || term.Token != 2 {
 		t.Errorf("b has term %+v, %v", term, ok)
 	}
@@ -94,58 +94,58 @@
 
 // TestATermThatRanOutIsResumed holds that a holder whose renewals failed goes on as soon as one succeeds, without waiting the
 // lease out, as long as nobody took over; and that it does not after its release, or as another process.
-func TestATermThatRanOutIsResumed(t *testing.T) {
-	s, a, b := &store{}, New("a", "", terms), New("b", "", terms)
-	a.Seen(at(0), s.record, s.version)
-	s.write(a.Take(at(0)))
-	a.Written(at(5), s.version)
+func TestExpiredTermIsResumed(t *testing.T) {
+	s, a, b := &store{}, New("a", "", timing), New("b", "", timing)
+	a.Observe(at(0), s.record, s.version)
+	s.write(a.Acquire(at(0)))
+	a.WriteSucceeded(at(5), s.version)
 	a.Renew(at(1000)) // It reaches no store.
-	a.Unknown()
-	a.Seen(at(5000), s.record, s.version)
-	if _, ok := a.Holds(at(5000)); ok || !a.Resumes() {
-		t.Errorf("holds %v, resumes %v", ok, a.Resumes())
+	a.WriteUncertain()
+	a.Observe(at(5000), s.record, s.version)
+	if _, ok := a.Holds(at(5000)); ok || !a.CanResume() {
+		t.Errorf("holds %v, resumes %v", ok, a.CanResume())
 	}
-	b.Seen(at(2600), s.record, s.version)
-	taken, expect := b.Take(at(5005))
+	b.Observe(at(2600), s.record, s.version)
+	taken, expect := b.Acquire(at(5005))
 	if !s.write(a.Renew(at(5000))) || s.write(taken, expect) {
 		t.Error("both wrote")
 	}
-	a.Written(at(5010), s.version)
+	a.WriteSucceeded(at(5010), s.version)
 	if term, ok := a.Holds(at(6999)); !ok || term.Token != 1 {
 		t.Errorf("after the renewal: %+v, %v", term, ok)
 	}
-	again := New("a", "", terms)
-	again.Seen(at(6000), s.record, s.version)
-	if again.Resumes() {
+	again := New("a", "", timing)
+	again.Observe(at(6000), s.record, s.version)
+	if again.CanResume() {
 		t.Error("another process of the node resumes its term")
 	}
 	s.write(a.Release(at(6500)))
-	a.Written(at(6505), s.version)
-	if a.Resumes() {
+	a.WriteSucceeded(at(6505), s.version)
+	if a.CanResume() {
 		t.Error("a term that was released is resumed")
 	}
 }
 
 // TestNoReturnWithinApart holds that a former holder does not come back, after another's term, within the time in
 // which holders must not act in turn, also where it has started again.
-func TestNoReturnWithinApart(t *testing.T) {
-	s, a, b := &store{}, New("a", "", terms), New("b", "", terms)
-	a.Seen(at(0), s.record, s.version)
-	s.write(a.Take(at(0)))
-	a.Written(at(5), s.version)
+func TestFormerHolderWaitsForTheReturnDelay(t *testing.T) {
+	s, a, b := &store{}, New("a", "", timing), New("b", "", timing)
+	a.Observe(at(0), s.record, s.version)
+	s.write(a.Acquire(at(0)))
+	a.WriteSucceeded(at(5), s.version)
 	s.write(a.Release(at(100)))
-	b.Seen(at(110), s.record, s.version)
-	s.write(b.Take(at(110)))
-	b.Written(at(115), s.version)
+	b.Observe(at(110), s.record, s.version)
+	s.write(b.Acquire(at(110)))
+	b.WriteSucceeded(at(115), s.version)
 	s.write(b.Release(at(120)))
-	again := New("a", "", terms)
-	again.Seen(at(130), s.record, s.version)
-	if from, _ := again.MayTakeAt(); from.Before(at(130 + 3000)) {
+	again := New("a", "", timing)
+	again.Observe(at(130), s.record, s.version)
+	if from, _ := again.AcquirableAt(); from.Before(at(130 + 3000)) {
 		t.Errorf("a comes back %v after the start", from.Sub(start))
 	}
-	c := New("c", "", terms)
-	c.Seen(at(130), s.record, s.version)
-	if from, _ := c.MayTakeAt(); from != at(130) {
+	c := New("c", "", timing)
+	c.Observe(at(130), s.record, s.version)
+	if from, _ := c.AcquirableAt(); from != at(130) {
 		t.Errorf("c waits until %v", from.Sub(start))
 	}
 }
--- a/internal/lease/model_test.go
+++ b/internal/lease/model_test.go
@@ -13,28 +13,28 @@
 // that no two nodes ever may act at one moment, and that tokens rise; and it finds each of three planted faults.
 
 const (
-	tick       = 500 * time.Millisecond // tick is the least time that passes in the model.
-	modelWalks = 15_000                 // modelWalks is how many orders of steps are tried.
-	modelSteps = 60                     // modelSteps is how many steps each has.
-	flightMost = 2                      // flightMost is how many writes of a node are on their way at once.
+	tick        = 500 * time.Millisecond // tick is the least time that passes in the model.
+	modelRuns   = 15_000                 // modelWalks is how many orders of steps are tried.
+	modelSteps  = 60                     // modelSteps is how many steps each has.
+	maxInFlight = 2                      // flightMost is how many writes of a node are on their way at once.
 )
 
 // modelTerms make a lease two ticks long, with one tick of margin.
-var modelTerms = Terms{Life: 2 * tick, Margin: tick, Apart: 3 * tick}
+var modelTiming = Timing{TTL: 2 * tick, Margin: tick, ReturnDelay: 3 * tick}
 
 // plant is a fault built into the protocol.
-type plant int
+type mutation int
 
 const (
-	sound         plant = iota
-	noWait              // noWait takes a lease over without waiting it out.
-	fromAnswer          // fromAnswer counts a lease from when the answer came.
-	tokenByItself       // tokenByItself draws the token at the node, not from the row.
+	noMutation      mutation = iota
+	skipWait                 // noWait takes a lease over without waiting it out.
+	countFromAnswer          // fromAnswer counts a lease from when the answer came.
+	localToken               // tokenByItself draws the token at the node, not from the row.
 )
 
 type (
 	// flight is a write on its way to the store.
-	flight struct {
+	inFlightWrite struct {
 		node   int
 		record Record
 		expect int64
@@ -43,67 +43,67 @@
 	}
 
 	// world is a state of the model.
-	world struct {
-		now     int
-		store   store
-		nodes   []Lease
-		flights []flight
-		highest int64
+	model struct {
+		ticks        int
+		store        store
+		nodes        []Lease
+		inFlight     []inFlightWrite
+		highestToken int64
 	}
 )
 
 // at returns the model's time.
-func (w *world) at() time.Time { return start.Add(time.Duration(w.now) * tick) }
+func (w *model) now() time.Time { return start.Add(time.Duration(w.ticks) * tick) }
 
 // steps returns what can happen next.
-func (w *world) steps(p plant) []func() {
+func (w *model) steps(p mutation) []func() {
 	var out []func()
 	add := func(f func()) { out = append(out, f) }
-	add(func() { w.now++ })
+	add(func() { w.ticks++ })
 	for i := range w.nodes {
 		if l := &w.nodes[i]; !l.Known() || l.version != w.store.version {
-			add(func() { l.Seen(w.at(), w.store.record, w.store.version) })
+			add(func() { l.Observe(w.now(), w.store.record, w.store.version) })
 		}
-		if w.mayWrite(i, p) && flying(w.flights, i) < flightMost {
+		if w.mayWrite(i, p) && countInFlight(w.inFlight, i) < maxInFlight {
 			add(func() {
 				r, expect := w.write(i, p)
-				w.flights = append(w.flights, flight{node: i, record: r, expect: expect})
+				w.inFlight = append(w.inFlight, inFlightWrite{node: i, record: r, expect: expect})
 			})
 		}
 	}
-	for i, f := range w.flights {
+	for i, f := range w.inFlight {
 		if !f.done {
-			add(func() { w.flights[i].done, w.flights[i].ok = true, w.store.write(f.record, f.expect) })
+			add(func() { w.inFlight[i].done, w.inFlight[i].ok = true, w.store.write(f.record, f.expect) })
 			continue
 		}
-		add(func() { w.answer(i, p) })
+		add(func() { w.deliverAnswer(i, p) })
 		add(func() { // The answer is lost.
-			w.flights = slices.Delete(w.flights, i, i+1)
-			w.nodes[f.node].Unknown()
+			w.inFlight = slices.Delete(w.inFlight, i, i+1)
+			w.nodes[f.node].WriteUncertain()
 		})
 	}
 	return out
 }
 
 // answer lets the answer to a write come.
-func (w *world) answer(i int, p plant) {
-	f := w.flights[i]
-	w.flights = slices.Delete(w.flights, i, i+1)
+func (w *model) deliverAnswer(i int, p mutation) {
+	f := w.inFlight[i]
+	w.inFlight = slices.Delete(w.inFlight, i, i+1)
 	l := &w.nodes[f.node]
 	newest := len(l.pending) - 1
 	switch {
 	case !f.ok:
-		l.Conflict()
-	case newest >= 0 && l.pending[newest].record.Write == f.record.Write:
-		if p == fromAnswer {
-			l.pending[newest].sent = w.at()
+		l.WriteConflicted()
+	case newest >= 0 && l.pending[newest].record.WriteID == f.record.WriteID:
+		if p == countFromAnswer {
+			l.pending[newest].sent = w.now()
 		}
-		l.Written(w.at(), f.expect+1)
+		l.WriteSucceeded(w.now(), f.expect+1)
 	}
 }
 
 // flying counts the writes of a node that are on their way.
-func flying(flights []flight, node int) int {
+func countInFlight(flights []inFlightWrite, node int) int {
 	n := 0
 	for _, f := range flights {
 		if f.node == node {
@@ -114,21 +114,21 @@
 }
 
 // mayWrite reports whether a node's view allows it a write.
-func (w *world) mayWrite(i int, p plant) bool {
+func (w *model) mayWrite(i int, p mutation) bool {
 	l := &w.nodes[i]
-	at, known := l.MayTakeAt()
-	_, holds := l.Holds(w.at())
-	return known && (holds || l.Resumes() || p == noWait || !w.at().Before(at))
+	at, known := l.AcquirableAt()
+	_, holds := l.Holds(w.now())
+	return known && (holds || l.CanResume() || p == skipWait || !w.now().Before(at))
 }
 
 // write lets a node send a write.
-func (w *world) write(i int, p plant) (r Record, expect int64) {
+func (w *model) write(i int, p mutation) (r Record, expect int64) {
 	l := &w.nodes[i]
-	if _, holds := l.Holds(w.at()); holds || l.Resumes() {
-		return l.Renew(w.at())
+	if _, holds := l.Holds(w.now()); holds || l.CanResume() {
+		return l.Renew(w.now())
 	}
-	r, expect = l.Take(w.at())
-	if p == tokenByItself {
+	r, expect = l.Acquire(w.now())
+	if p == localToken {
 		r.Token = int64(1 + i%2)
 		l.pending[len(l.pending)-1].record = r
 	}
@@ -136,60 +136,60 @@
 }
 
 // fault returns what must never be in a state, or nothing.
-func (w *world) fault() string {
+func (w *model) violation() string {
 	holders := 0
 	for i := range w.nodes {
-		if _, ok := w.nodes[i].Holds(w.at()); ok {
+		if _, ok := w.nodes[i].Holds(w.now()); ok {
 			holders++
 		}
 	}
 	if holders > 1 {
 		return "two nodes may act"
 	}
-	if w.store.record.Token < w.highest {
+	if w.store.record.Token < w.highestToken {
 		return "a token went back"
 	}
-	w.highest = w.store.record.Token
+	w.highestToken = w.store.record.Token
 	return ""
 }
 
 // search tries orders of steps and returns the first fault, and after how many orders it was found.
-func search(nodes int, p plant) (fault string, walks int) {
-	for walk := range modelWalks {
-		rnd := rand.New(rand.NewPCG(uint64(walk), uint64(nodes)))
-		w := &world{}
+func search(nodes int, p mutation) (violation string, runs int) {
+	for run := range modelRuns {
+		rnd := rand.New(rand.NewPCG(uint64(run), uint64(nodes)))
+		w := &model{}
 		for i := range nodes {
-			w.nodes = append(w.nodes, *New(fmt.Sprint("n", i), "", modelTerms))
+			w.nodes = append(w.nodes, *New(fmt.Sprint("n", i), "", modelTiming))
 		}
 		for range modelSteps {
 			steps := w.steps(p)
 			steps[rnd.IntN(len(steps))]()
-			if f := w.fault(); f != "" {
-				return f, walk
+			if f := w.violation(); f != "" {
+				return f, run
 			}
 		}
 	}
-	return "", modelWalks
+	return "", modelRuns
 }
 
 // TestNoTwoNodesMayActAtOnce holds that in no order of steps two nodes may act at one moment.
-func TestNoTwoNodesMayActAtOnce(t *testing.T) {
+func TestAtMostOneHolder(t *testing.T) {
 	for _, nodes := range []int{2, 3} {
-		fault, walks := search(nodes, sound)
-		if fault != "" {
-			t.Errorf("%d nodes, after %d orders: %s", nodes, walks, fault)
+		violation, runs := search(nodes, noMutation)
+		if violation != "" {
+			t.Errorf("%d nodes, after %d orders: %s", nodes, runs, violation)
 		}
-		t.Logf("%d nodes: %d orders", nodes, walks)
+		t.Logf("%d nodes: %d orders", nodes, runs)
 	}
 }
 
 // TestTheModelFindsPlantedFaults holds that the search finds what a wrong protocol would do.
-func TestTheModelFindsPlantedFaults(t *testing.T) {
-	for name, p := range map[string]plant{"no wait at the take-over": noWait, "a lease counted from the answer": fromAnswer, "a token not from the row": tokenByItself} {
-		if fault, walks := search(2, p); fault == "" {
-			t.Errorf("%s: not found in %d orders", name, walks)
+func TestModelDetectsMutations(t *testing.T) {
+	for name, p := range map[string]mutation{"no wait at the take-over": skipWait, "a lease counted from the answer": countFromAnswer, "a token not from the row": localToken} {
+		if violation, runs := search(2, p); violation == "" {
+			t.Errorf("%s: not found in %d orders", name, runs)
 		} else {
-			t.Logf("%s: %s, after %d orders", name, fault, walks)
+			t.Logf("%s: %s, after %d orders", name, violation, runs)
 		}
 	}
 }
--- a/internal/usage/ledger.go
+++ b/internal/usage/ledger.go
@@ -10,12 +10,12 @@
 
 const (
 	// keptSent is how many windows are kept to be shown after they were sent.
-	keptSent = 12
+	maxSentWindows = 12
 
 	// clocksLeast is how many nodes must have told their time of day before any is put right, and clocksAfter how long
 	// a new holder listens first: those that counted send within a quarter of a second.
-	clocksLeast = 3
-	clocksAfter = time.Second
+	minClocks       = 3
+	clockListenTime = time.Second
 )
 
 type (
@@ -31,32 +31,32 @@
 
 	// Ledger gathers the counts of all nodes at the holder. Its methods may be called from many goroutines.
 	Ledger struct {
-		length time.Duration // length is that of a window.
-		late   time.Duration // late is how long after its end a window is due.
-		clock  *Clock
-
-		mu      sync.Mutex
-		since   time.Time // since is when this node became the holder.
-		state   int64     // state counts the changes.
-		written int64     // written is the state up to which all is in the store.
-		begun   bool      // begun says that next is set.
-		next    int64     // next is the first window that is not settled.
-		windows map[int64]*Window
-		sent    []Window // sent are the windows sent last, the newest last.
-		nodes   map[string]*node
-		dropped int64 // dropped counts requests that came after their window was settled.
+		length   time.Duration // length is that of a window.
+		dueAfter time.Duration // late is how long after its end a window is due.
+		clock    *Clock
+
+		mu             sync.Mutex
+		since          time.Time // since is when this node became the holder.
+		revision       int64     // state counts the changes.
+		storedRevision int64     // written is the state up to which all is in the store.
+		nextKnown      bool      // begun says that next is set.
+		next           int64     // next is the first window that is not settled.
+		windows        map[int64]*Window
+		sentWindows    []Window // sent are the windows sent last, the newest last.
+		nodes          map[string]*node
+		dropped        int64 // dropped counts requests that came after their window was settled.
 	}
 
 	// node is what the holder knows of a node that counts.
 	node struct {
-		taken   int64         // taken is the number of the last batch that was added.
-		durable int64         // durable is that of the last one in the store.
-		changed int64         // changed is the state at which taken changed.
-		through time.Time     // through is the time of day, by this node's clock, up to which all its counts are known: that at which it was heard.
-		heard   time.Time     // heard is when it was heard last.
-		counted time.Time     // counted is when it last had counts.
-		gone    bool          // gone says that a later process of its instance was heard.
-		ahead   time.Duration // ahead is by how much its time of day is ahead of this node's.
+		lastAdded    int64         // taken is the number of the last batch that was added.
+		lastStored   int64         // durable is that of the last one in the store.
+		changed      int64         // changed is the state at which taken changed.
+		countedUntil time.Time     // through is the time of day, by this node's clock, up to which all its counts are known: that at which it was heard.
+		heardAt      time.Time     // heard is when it was heard last.
+		lastCountAt  time.Time     // counted is when it last had counts.
+		replaced     bool          // gone says that a later process of its instance was heard.
+		clockOffset  time.Duration // ahead is by how much its time of day is ahead of this node's.
 	}
 )
 
@@ -70,12 +70,12 @@
 }
 
 // NewLedger returns an empty ledger for windows of a length that are due some time after their end.
-func NewLedger(length, late time.Duration, clock *Clock) *Ledger {
-	return &Ledger{length: length, late: late, clock: clock, windows: map[int64]*Window{}, nodes: map[string]*node{}}
+func NewLedger(length, dueAfter time.Duration, clock *Clock) *Ledger {
+	return &Ledger{length: length, dueAfter: dueAfter, clock: clock, windows: map[int64]*Window{}, nodes: map[string]*node{}}
 }
 
 // Take adds a node's batches that were not added before.
-func (l *Ledger) Take(now time.Time, token int64, r Report) Ack {
+func (l *Ledger) AddReport(now time.Time, token int64, r Report) Ack {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	wall := l.clock.At(now)
@@ -83,37 +83,37 @@
 	if n == nil {
 		n = &node{}
 		l.nodes[r.Node] = n
-		l.succeed(r.Node)
+		l.markReplaced(r.Node)
 	}
-	n.heard, n.ahead = now, time.UnixMilli(r.WallMs).Sub(wall)
-	n.through = wall
+	n.heardAt, n.clockOffset = now, time.UnixMilli(r.WallMs).Sub(wall)
+	n.countedUntil = wall
 	for _, b := range r.Batches {
-		if b.Number <= n.taken {
+		if b.Number <= n.lastAdded {
 			continue
 		}
-		l.state++
-		n.taken, n.changed, n.counted = b.Number, l.state, now
-		l.add(wall, b.Counts)
+		l.revision++
+		n.lastAdded, n.changed, n.lastCountAt = b.Number, l.revision, now
+		l.addCounts(wall, b.Counts)
 	}
-	a := Ack{Token: token, Taken: n.taken, Durable: n.durable}
-	if common, ok := l.common(now); ok {
-		a.WallMs = wall.Add(common).UnixMilli()
-		l.moveClock(l.clock.PutRight(common))
+	a := Ack{Token: token, Received: n.lastAdded, Durable: n.lastStored}
+	if offset, ok := l.medianOffset(now); ok {
+		a.WallMs = wall.Add(offset).UnixMilli()
+		l.adjustOffsets(l.clock.Correct(offset))
 	}
 	return a
 }
 
 // moveClock takes that this node's time of day was moved. The caller holds the lock.
-func (l *Ledger) moveClock(by time.Duration) {
+func (l *Ledger) adjustOffsets(by time.Duration) {
 	for _, n := range l.nodes {
-		n.ahead -= by
+		n.clockOffset -= by
 	}
 }
 
 // add adds counts to windows that are not settled. The caller holds the lock.
-func (l *Ledger) add(wall time.Time, c Counts) {
+func (l *Ledger) addCounts(wall time.Time, c Counts) {
 	for number, teams := range c {
-		l.begin(min(number, windowOf(wall, l.length)))
+		l.initNext(min(number, windowNumber(wall, l.length)))
 		w := l.window(number)
 		for team, n := range teams {
 			if number < l.next {
@@ -121,15 +121,15 @@
 				continue
 			}
 			w.Counts[team] += n
-			w.changed = l.state
+			w.changed = l.revision
 		}
 	}
 }
 
 // begin sets the first window of all.
-func (l *Ledger) begin(number int64) {
-	if !l.begun {
-		l.begun, l.next = true, number
+func (l *Ledger) initNext(number int64) {
+	if !l.nextKnown {
+		l.nextKnown, l.next = true, number
 	}
 }
 
@@ -151,14 +151,14 @@
 // common returns by how much the time of day that most nodes have is ahead of this node's: the median, so that
 // fewer than half of the clocks being wrong does no harm; ok is false until enough have told theirs. The caller holds
 // the lock.
-func (l *Ledger) common(now time.Time) (ahead time.Duration, ok bool) {
+func (l *Ledger) medianOffset(now time.Time) (offset time.Duration, ok bool) {
 	var all []time.Duration
 	for _, n := range l.nodes {
-		if !n.through.IsZero() && now.Sub(n.heard) < l.length {
-			all = append(all, n.ahead)
+		if !n.countedUntil.IsZero() && now.Sub(n.heardAt) < l.length {
+			all = append(all, n.clockOffset)
 		}
 	}
-	if len(all) < clocksLeast || now.Sub(l.since) < clocksAfter {
+	if len(all) < minClocks || now.Sub(l.since) < clockListenTime {
 		return 0, false
 	}
 	slices.Sort(all)
@@ -170,7 +170,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, each := range l.windows {
-		if each.Settled && !each.Sent && each.changed <= l.written && (!ok || each.Number < w.Number) {
+		if each.Settled && !each.Sent && each.changed <= l.storedRevision && (!ok || each.Number < w.Number) {
 			w, ok = *each, true
 		}
 	}
@@ -179,24 +179,24 @@
 }
 
 // Sent says that a window was reported.
-func (l *Ledger) Sent(number int64) {
+func (l *Ledger) MarkSent(number int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	w := l.windows[number]
 	if w == nil || w.Sent {
 		return
 	}
-	l.state++
-	w.Sent, w.changed = true, l.state
-	l.sent = append(l.sent, *w)
-	l.sent = l.sent[max(0, len(l.sent)-keptSent):]
+	l.revision++
+	w.Sent, w.changed = true, l.revision
+	l.sentWindows = append(l.sentWindows, *w)
+	l.sentWindows = l.sentWindows[max(0, len(l.sentWindows)-maxSentWindows):]
 }
 
 // Shown returns the newest windows, sent or not, for operators, and how many requests came too late for theirs.
-func (l *Ledger) Shown() (windows []Window, dropped int64) {
+func (l *Ledger) RecentWindows() (windows []Window, dropped int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	windows = slices.Clone(l.sent)
+	windows = slices.Clone(l.sentWindows)
 	for _, w := range l.windows {
 		if !w.Sent {
 			shown := *w
@@ -210,5 +210,5 @@
 
 // Age returns how long ago a window ended.
 func (l *Ledger) Age(now time.Time, number int64) time.Duration {
-	return l.clock.At(now).Sub(l.end(number))
+	return l.clock.At(now).Sub(l.windowEnd(number))
 }
--- a/internal/usage/rows.go
+++ b/internal/usage/rows.go
@@ -14,7 +14,7 @@
 const (
 	// forgetNode is how long the number of a node's last batch is remembered. Batches of a node are sent again for
 	// as long as it lives, four times a second.
-	forgetNode = 2 * time.Minute
+	nodeTTL = 2 * time.Minute
 
 	// The keys of rows.
 	keyNodes      = "usage"
@@ -31,7 +31,7 @@
 func (l *Ledger) Load(now time.Time, rows []feed.Row) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.since, l.state, l.written, l.begun, l.next = now, 0, 0, false, 0
+	l.since, l.revision, l.storedRevision, l.nextKnown, l.next = now, 0, 0, false, 0
 	l.windows, l.nodes = map[int64]*Window{}, map[string]*node{}
 	for _, r := range rows {
 		if err := l.load(now, r); err != nil {
@@ -48,9 +48,9 @@
 		if err := json.Unmarshal(r.Value, &all); err != nil {
 			return fmt.Errorf("decode usage of nodes: %w", err)
 		}
-		l.begun, l.next = all.Next > 0, all.Next
+		l.nextKnown, l.next = all.Next > 0, all.Next
 		for name, taken := range all.Nodes {
-			l.nodes[name] = &node{taken: taken, durable: taken, heard: now, counted: now}
+			l.nodes[name] = &node{lastAdded: taken, lastStored: taken, heardAt: now, lastCountAt: now}
 		}
 		return nil
 	}
@@ -71,20 +71,20 @@
 }
 
 // Pending returns the rows that differ from what is in the store, by their keys alone, and the state that they are of.
-func (l *Ledger) Pending(now time.Time) (rows []feed.Row, state int64) {
+func (l *Ledger) PendingRows(now time.Time) (rows []feed.Row, revision int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.written == l.state {
-		return nil, l.state
+	if l.storedRevision == l.revision {
+		return nil, l.revision
 	}
 	all := nodesRow{Next: l.next, Nodes: map[string]int64{}}
 	for name, n := range l.nodes {
-		if now.Sub(n.heard) > forgetNode {
+		if now.Sub(n.heardAt) > nodeTTL {
 			delete(l.nodes, name)
 			continue
 		}
-		if n.taken > 0 {
-			all.Nodes[name] = n.taken
+		if n.lastAdded > 0 {
+			all.Nodes[name] = n.lastAdded
 		}
 	}
 	rows = append(rows, feed.Row{Key: keyNodes, Value: encode(all)})
@@ -93,12 +93,12 @@
 		switch {
 		case w.Sent:
 			rows = append(rows, feed.Row{Key: key, Deleted: true})
-		case w.changed > l.written:
+		case w.changed > l.storedRevision:
 			rows = append(rows, feed.Row{Key: key, Value: encode(w)})
 		}
 	}
 	sort.Slice(rows, func(i, j int) bool { return rows[i].Key < rows[j].Key })
-	return rows, l.state
+	return rows, l.revision
 }
 
 // encode returns what is kept as JSON; numbers and texts always can be encoded.
@@ -111,17 +111,17 @@
 }
 
 // Written says that all up to a state is in the store.
-func (l *Ledger) Written(state int64) {
+func (l *Ledger) MarkWritten(revision int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.written = max(l.written, state)
+	l.storedRevision = max(l.storedRevision, revision)
 	for _, n := range l.nodes {
-		if n.changed <= l.written {
-			n.durable = n.taken
+		if n.changed <= l.storedRevision {
+			n.lastStored = n.lastAdded
 		}
 	}
 	for number, w := range l.windows {
-		if w.Sent && w.changed <= l.written {
+		if w.Sent && w.changed <= l.storedRevision {
 			delete(l.windows, number)
 		}
 	}
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -9,66 +9,66 @@
 )
 
 const (
-	window = 5 * time.Second
-	late   = 10 * time.Second
+	window   = 5 * time.Second
+	dueAfter = 10 * time.Second
 )
 
 // zero is a moment at the beginning of a window, as the process's clock and as the time of day.
-var zero = time.UnixMilli(1_700_000_000_000)
+var base = time.UnixMilli(1_700_000_000_000)
 
 // after returns a moment some milliseconds after zero.
-func after(ms int) time.Time { return zero.Add(time.Duration(ms) * time.Millisecond) }
+func after(ms int) time.Time { return base.Add(time.Duration(ms) * time.Millisecond) }
 
 // first is the number of the window that begins at zero.
-func first() int64 { return windowOf(zero, window) }
+func firstWindow() int64 { return windowNumber(base, window) }
 
 // rig is some nodes, a holder and the store.
-type rig struct {
-	t     *testing.T
-	nodes []*Counter
-	rows  map[string][]byte
-	held  *Ledger
-	token int64
+type testCluster struct {
+	t      *testing.T
+	nodes  []*Counter
+	rows   map[string][]byte
+	ledger *Ledger
+	token  int64
 }
 
 // newRig returns nodes whose clocks are ahead of the true time by some durations.
-func newRig(t *testing.T, ahead ...time.Duration) *rig {
-	r := &rig{t: t, rows: map[string][]byte{}}
+func newTestCluster(t *testing.T, ahead ...time.Duration) *testCluster {
+	r := &testCluster{t: t, rows: map[string][]byte{}}
 	for i, by := range ahead {
-		r.nodes = append(r.nodes, NewCounter(fmt.Sprint("n", i), window, NewClock(zero, zero.Add(by))))
+		r.nodes = append(r.nodes, NewCounter(fmt.Sprint("n", i), window, NewClock(base, base.Add(by))))
 	}
-	r.takeOver(zero, 0)
+	r.takeOver(base, 0)
 	return r
 }
 
 // takeOver makes a node the holder, with what is in the store.
-func (r *rig) takeOver(now time.Time, node int) {
+func (r *testCluster) takeOver(now time.Time, node int) {
 	r.t.Helper()
 	r.token++
-	r.held = NewLedger(window, late, r.nodes[node].clock)
+	r.ledger = NewLedger(window, dueAfter, r.nodes[node].clock)
 	var rows []feed.Row
 	for key, value := range r.rows {
 		rows = append(rows, feed.Row{Key: key, Value: value})
 	}
-	if err := r.held.Load(now, rows); err != nil {
+	if err := r.ledger.Load(now, rows); err != nil {
 		r.t.Fatal(err)
 	}
 }
 
 // send sends a node's counts; the answer is lost if lost.
-func (r *rig) send(now time.Time, node int, lost bool) {
+func (r *testCluster) send(now time.Time, node int, lost bool) {
 	report, ok := r.nodes[node].Report(now, r.token)
 	if !ok {
 		return
 	}
-	if ack := r.held.Take(now, r.token, report); !lost {
-		r.nodes[node].Acked(now, now, ack)
+	if ack := r.ledger.AddReport(now, r.token, report); !lost {
+		r.nodes[node].HandleAck(now, now, ack)
 	}
 }
 
 // write writes what the holder has to the store.
-func (r *rig) write(now time.Time) {
-	rows, state := r.held.Pending(now)
+func (r *testCluster) write(now time.Time) {
+	rows, state := r.ledger.PendingRows(now)
 	for _, row := range rows {
 		if row.Deleted {
 			delete(r.rows, row.Key)
@@ -76,18 +76,18 @@
 		}
 		r.rows[row.Key] = row.Value
 	}
-	r.held.Written(state)
+	r.ledger.MarkWritten(state)
 }
 
 // due settles, writes and returns the next window to be sent.
-func (r *rig) due(now time.Time) (Window, bool) {
-	r.held.Settle(now)
+func (r *testCluster) due(now time.Time) (Window, bool) {
+	r.ledger.Settle(now)
 	r.write(now)
-	return r.held.Due()
+	return r.ledger.Due()
 }
 
 // began lets an engine begin some requests of a team that a node sent.
-func (r *rig) began(now time.Time, node int, team string, n int) {
+func (r *testCluster) countRequests(now time.Time, node int, team string, n int) {
 	for range n {
 		r.nodes[node].Began(now, team)
 	}
@@ -95,15 +95,15 @@
 
 // TestACountCountsOnce holds that counts which a holder had are counted once, whether it had written them before it was
 // lost or not and whether its answer came or not, and that none are missing.
-func TestACountCountsOnce(t *testing.T) {
+func TestCountsAreAddedOnce(t *testing.T) {
 	for _, written := range []bool{false, true} {
 		for _, lost := range []bool{false, true} {
-			r := newRig(t, 0, 0, 0)
-			r.began(after(100), 1, "a", 7)
+			r := newTestCluster(t, 0, 0, 0)
+			r.countRequests(after(100), 1, "a", 7)
 			r.send(after(200), 1, false)
 			r.write(after(300))
-			r.began(after(400), 1, "a", 3)
-			r.began(after(400), 2, "b", 5)
+			r.countRequests(after(400), 1, "a", 3)
+			r.countRequests(after(400), 2, "b", 5)
 			r.send(after(500), 1, lost)
 			r.send(after(500), 2, lost)
 			if written {
@@ -116,7 +116,7 @@
 				r.write(after(at))
 			}
 			w, ok := r.due(after(10_600))
-			if !ok || w.Number != first() || w.Counts["a"] != 10 || w.Counts["b"] != 5 {
+			if !ok || w.Number != firstWindow() || w.Counts["a"] != 10 || w.Counts["b"] != 5 {
 				t.Errorf("written %v, answer lost %v: got %+v, %v", written, lost, w, ok)
 			}
 		}
@@ -125,102 +125,102 @@
 
 // TestASettledWindowIsTheSameForAllHolders holds that what is sent was in the store before, that the next holder sends the same,
 // and that counts which come later change nothing.
-func TestASettledWindowIsTheSameForAllHolders(t *testing.T) {
-	r := newRig(t, 0, 0)
-	r.began(after(100), 1, "a", 4)
+func TestSettledWindowSurvivesATakeover(t *testing.T) {
+	r := newTestCluster(t, 0, 0)
+	r.countRequests(after(100), 1, "a", 4)
 	r.send(after(200), 1, false)
 	r.send(after(5100), 1, false)
-	if settled := r.held.Settle(after(6600)); len(settled) != 1 {
+	if settled := r.ledger.Settle(after(6600)); len(settled) != 1 {
 		t.Fatalf("settled %+v, want one window", settled)
 	}
-	if w, ok := r.held.Due(); ok {
+	if w, ok := r.ledger.Due(); ok {
 		t.Errorf("%+v may be sent before it is in the store", w)
 	}
 	r.write(after(6650))
-	sent, _ := r.held.Due()
+	sent, _ := r.ledger.Due()
 	r.takeOver(after(9000), 1)
-	r.began(after(4900), 1, "a", 2) // A count that comes late.
+	r.countRequests(after(4900), 1, "a", 2) // A count that comes late.
 	r.send(after(9100), 1, false)
 	again, ok := r.due(after(9200))
 	if !ok || again.Number != sent.Number || fmt.Sprint(again.Counts) != fmt.Sprint(sent.Counts) {
 		t.Errorf("first %+v, then %+v, %v", sent, again, ok)
 	}
-	r.held.Sent(again.Number)
+	r.ledger.MarkSent(again.Number)
 	r.write(after(9300))
-	if w, ok := r.held.Due(); ok {
+	if w, ok := r.ledger.Due(); ok {
 		t.Errorf("%+v is sent again", w)
 	}
-	if _, there := r.rows[fmt.Sprint(prefixWindows, first())]; there {
+	if _, there := r.rows[fmt.Sprint(prefixWindows, firstWindow())]; there {
 		t.Error("a window that was sent is still in the store")
 	}
-	if _, dropped := r.held.Shown(); dropped != 2 {
+	if _, dropped := r.ledger.RecentWindows(); dropped != 2 {
 		t.Errorf("%d late counts were noted, want 2", dropped)
 	}
 }
 
 // TestAWindowWaitsForNodesThatCount holds that a window is settled once all nodes that counted lately have told all, and in time
 // though one stays silent.
-func TestAWindowWaitsForNodesThatCount(t *testing.T) {
-	r := newRig(t, 0, 0)
-	r.began(after(4000), 1, "a", 1)
+func TestWindowWaitsForActiveNodes(t *testing.T) {
+	r := newTestCluster(t, 0, 0)
+	r.countRequests(after(4000), 1, "a", 1)
 	r.send(after(4100), 1, false)
-	if settled := r.held.Settle(after(7000)); len(settled) != 0 {
+	if settled := r.ledger.Settle(after(7000)); len(settled) != 0 {
 		t.Errorf("settled %+v before a node has told of its end", settled)
 	}
-	r.began(after(4990), 1, "a", 1)
+	r.countRequests(after(4990), 1, "a", 1)
 	r.send(after(7100), 1, false)
-	if settled := r.held.Settle(after(7200)); len(settled) != 1 || settled[0].Counts["a"] != 2 {
+	if settled := r.ledger.Settle(after(7200)); len(settled) != 1 || settled[0].Counts["a"] != 2 {
 		t.Errorf("settled %+v, want one window with 2", settled)
 	}
-	if settled := r.held.Settle(after(10_000 + 6_499)); len(settled) != 0 {
+	if settled := r.ledger.Settle(after(10_000 + 6_499)); len(settled) != 0 {
 		t.Errorf("settled %+v though a node may still tell", settled)
 	}
-	if settled := r.held.Settle(after(10_000 + 6_500)); len(settled) != 1 {
+	if settled := r.ledger.Settle(after(10_000 + 6_500)); len(settled) != 1 {
 		t.Errorf("settled %+v, want one that waited long enough", settled)
 	}
 }
 
 // TestAProcessThatEndedIsNotWaitedFor holds that a window does not wait for a process whose successor has told of itself.
-func TestAProcessThatEndedIsNotWaitedFor(t *testing.T) {
-	r := newRig(t, 0, 0)
+func TestReplacedProcessIsNotWaitedFor(t *testing.T) {
+	r := newTestCluster(t, 0, 0)
 	for i, name := range []string{"a/1", "a/2"} {
 		r.nodes[i].node = name
 	}
-	r.began(after(4000), 0, "t", 1)
+	r.countRequests(after(4000), 0, "t", 1)
 	r.send(after(4100), 0, false)
-	r.began(after(6000), 1, "t", 1)
+	r.countRequests(after(6000), 1, "t", 1)
 	r.send(after(6100), 1, false)
-	if settled := r.held.Settle(after(6600)); len(settled) != 1 || settled[0].Counts["t"] != 1 {
+	if settled := r.ledger.Settle(after(6600)); len(settled) != 1 || settled[0].Counts["t"] != 1 {
 		t.Errorf("settled %+v, want the window of the process that ended", settled)
 	}
 }
 
 // TestWindowsOfAnOutageFollow holds that after an outage all windows are due, the earliest first, those without counts too.
-func TestWindowsOfAnOutageFollow(t *testing.T) {
-	r := newRig(t, 0, 0)
-	r.began(after(100), 1, "a", 1)
+func TestWindowsAreReportedAfterAnOutage(t *testing.T) {
+	r := newTestCluster(t, 0, 0)
+	r.countRequests(after(100), 1, "a", 1)
 	r.send(after(200), 1, false)
 	r.write(after(300))
-	r.began(after(12_000), 1, "a", 2)
+	r.countRequests(after(12_000), 1, "a", 2)
 	r.takeOver(after(21_000), 0)
 	r.send(after(21_100), 1, false)
 	for i := range int64(3) {
 		w, ok := r.due(after(22_100))
-		if want := []int{1, 0, 2}[i]; !ok || w.Number != first()+i || w.Counts["a"] != want {
+		if want := []int{1, 0, 2}[i]; !ok || w.Number != firstWindow()+i || w.Counts["a"] != want {
 			t.Errorf("window %d of the outage: %+v, %v, want %d", i, w, ok, want)
 		}
-		r.held.Sent(w.Number)
+		r.ledger.MarkSent(w.Number)
 	}
 }
 
 // TestAWrongTimeOfDayIsPutRight holds that a node whose time of day is wrong from its start counts in the right window once the
 // holder has answered it, and that a holder whose own is wrong goes by the others'.
-func TestAWrongTimeOfDayIsPutRight(t *testing.T) {
+func TestWrongClockIsCorrected(t *testing.T) {
 	for holder := range 2 {
-		r := newRig(t, 7*time.Second, 0, 0, 0, 0)
-		r.takeOver(zero, holder)
+		r := newTestCluster(t, 7*time.Second, 0, 0, 0, 0)
+		r.takeOver(base, holder)
 		for i := range r.nodes {
-			r.began(after(10), i, "a", 1)
+			r.countRequests(after(10), i, "a", 1)
 		}
 		for _, at := range []int{100, 350, 1200, 2400} {
 			for i := range r.nodes {
@@ -228,7 +228,7 @@
 			}
 		}
 		for i, n := range r.nodes {
-			if off := n.clock.At(after(2500)).Sub(after(2500)); off.Abs() > clockSlack {
+			if off := n.clock.At(after(2500)).Sub(after(2500)); off.Abs() > maxClockSkew {
 				t.Errorf("holder %d: node %d is off by %v", holder, i, off)
 			}
 		}
@@ -236,12 +236,12 @@
 }
 
 // TestAStepOfTheTimeOfDayMovesNothing holds that windows go by the steady clock from the process's start on.
-func TestAStepOfTheTimeOfDayMovesNothing(t *testing.T) {
-	c := NewClock(zero, zero)
+func TestClockFollowsTheMonotonicClock(t *testing.T) {
+	c := NewClock(base, base)
 	if got := c.At(after(1234)); !got.Equal(after(1234)) {
 		t.Errorf("got %v", got)
 	}
-	if moved := c.PutRight(clockSlack); moved != 0 {
+	if moved := c.Correct(maxClockSkew); moved != 0 {
 		t.Errorf("moved by %v for what messages take", moved)
 	}
 }
