--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,11 +1,11 @@
-// Package lease decides which node may act for all: at most one at a time, for as long as its lease has time left.
-// The lease is one row in the platform's store. Nothing is agreed between nodes; who writes the row under the
-// condition that it has not changed is the holder.
+// Package lease elects a leader: at most one node at a time may act for all, until its lease expires. The lease is one row in
+// the platform's store. Nodes don't negotiate; the holder is the node that writes the row on condition that it has not
+// changed.
 //
-// A holder counts its lease from when it sent the write that renewed it. Whoever takes over has seen the row unchanged for
-// the lease's life and a margin, by its own clock, and then changes it under the condition that it still is unchanged.
-// So the new term begins after the former one has ended, whatever became of answers and however long writes were
-// on their way. Clocks of two nodes are never compared.
+// A holder counts its lease from the time at which it sent the write that renewed it. A successor must have seen the row
+// unchanged for the TTL and a margin, by its own clock, and then writes it on condition that it is still unchanged. The new
+// term therefore begins after the previous one has ended, whatever answers were lost and however long writes were in
+// transit. Clocks of two nodes are never compared.
 package lease
 
 import (
@@ -15,40 +15,40 @@
 )
 
 const (
-	// recentMost is how many former holders are remembered in the row: more than can follow each other within Apart,
-	// since each take-over without a release takes as long as a lease.
+	// maxRecentHolders is how many former holders the row records: more than can follow each other within ReturnDelay,
+	// since each takeover without a release takes as long as a lease.
 	maxRecentHolders = 8
 
-	// pendingMost is how many writes of unknown outcome are remembered; each is made after the row was read again.
+	// maxPendingWrites is how many writes of unknown outcome are recorded; each is made after the row was read again.
 	maxPendingWrites = 8
 
-	// firstWrites bounds the number of the first write, which is drawn by chance: a write of an earlier process of the
-	// same node may still be done.
+	// maxInitialWriteID bounds the random id of the first write. It is random because a write of an earlier process of the
+	// same node may still be applied.
 	maxInitialWriteID = 1 << 40
 )
 
 type (
-	// Terms are what all nodes agree on.
+	// Timing holds the durations that all nodes must agree on.
 	Timing struct {
-		TTL         time.Duration // Life is how long a holder may act after it sent its last renewal.
-		Margin      time.Duration // Margin is what a take-over waits beyond Life, for calls of the former holder that are on their way.
-		ReturnDelay time.Duration // Apart is the least time between two terms of one node with another's between them.
+		TTL         time.Duration // TTL is how long a holder may act after it sent its last renewal.
+		Margin      time.Duration // Margin is how long a takeover waits beyond TTL, for calls of the former holder that are still in transit.
+		ReturnDelay time.Duration // ReturnDelay is the least time between two terms of one node with a term of another node between them.
 	}
 
 	// Record is the content of the row.
 	Record struct {
 		Holder   string   `json:"holder"`
-		Address  string   `json:"address"` // Address is where peers call the holder.
-		Token    int64    `json:"token"`   // Token rises by one with each term; no two terms have the same.
-		WriteID  int64    `json:"write"`   // Write tells this write from all others, also of the same term.
+		Address  string   `json:"address"` // Address is the holder's peer address.
+		Token    int64    `json:"token"`   // Token increases by one with each term and is unique to it.
+		WriteID  int64    `json:"write"`   // WriteID is unique to this write, also among those of the same term.
 		Released bool     `json:"released,omitempty"`
-		Recent   []string `json:"recent,omitempty"` // Recent are the holders before, the newest last.
+		Recent   []string `json:"recent,omitempty"` // Recent lists the former holders, the newest last.
 	}
 
-	// Term is what a holder acts with.
+	// Term is a period in which this node may act.
 	Term struct {
 		Token int64
-		Until time.Time // Until is when the holder stops acting; what it sends must have ended by then.
+		Until time.Time // Until is when the holder stops acting; its calls must have ended by then.
 	}
 
 	// Lease is one node's view of the lease. It is not safe for concurrent use.
@@ -57,18 +57,18 @@
 		address string
 		timing  Timing
 
-		known      bool // known says that record is what the row held at version.
+		known      bool // known is set while record is the content of the row at version.
 		record     Record
 		version    int64
-		rowSeenAt  time.Time // seenAt is when the row was first seen as it is.
-		termSeenAt time.Time // holderAt is when the present term was first seen.
-
-		token       int64     // token is of this node's present term; 0 for none.
-		lastToken   int64     // last is the token of this process's last term; 0 for none, or once it was released.
-		renewedAt   time.Time // renewed is when the write was sent by which the present term is as long as it is.
-		until       time.Time // until is the end of it.
-		lastWriteID int64     // writes is the number of the newest write.
-		pending     []pending // pending are writes that were not seen to be done yet, the newest last.
+		rowSeenAt  time.Time // rowSeenAt is when the row was first seen in its present state.
+		termSeenAt time.Time // termSeenAt is when the present term was first seen.
+
+		token       int64     // token is the token of this node's present term; 0 for none.
+		lastToken   int64     // lastToken is the token of this process's last term; 0 for none, or once it was released.
+		renewedAt   time.Time // renewedAt is when the write that last renewed the present term was sent.
+		until       time.Time // until is when the present term ends.
+		lastWriteID int64     // lastWriteID is the id of the newest write.
+		pending     []pending // pending are the writes not yet known to be applied, the newest last.
 	}
 
 	// pending is a write whose outcome may be unknown.
@@ -78,30 +78,30 @@
 	}
 )
 
-// New returns the view of a node that has not read the row yet; peers call it at an address.
+// New returns the view of a node that has not read the row yet; address is its peer address.
 func New(self, address string, timing Timing) *Lease {
 	return &Lease{self: self, address: address, timing: timing, lastWriteID: rand.Int64N(maxInitialWriteID)}
 }
 
-// Holds returns the term in which this node may act at a moment.
+// Holds returns the term in which this node may act at a time.
 func (l *Lease) Holds(now time.Time) (Term, bool) {
 	return Term{Token: l.token, Until: l.until}, l.token > 0 && now.Before(l.until)
 }
 
-// Renewed returns when the last renewal that is known to be done was sent.
+// RenewedAt returns when the last renewal that is known to be applied was sent.
 func (l *Lease) RenewedAt() time.Time { return l.renewedAt }
 
-// Resumes reports whether this node may make its last term, which ran out, longer: the row is as it left it. A renewal that
-// is done then proves that nobody held the lease meanwhile.
+// CanResume reports whether this node may renew its last term after it expired: the row is as this node left it. If the
+// renewal is applied, nobody held the lease in the meantime.
 func (l *Lease) CanResume() bool {
 	return l.known && l.lastToken > 0 && l.record.Token == l.lastToken && l.record.Holder == l.self && !l.record.Released
 }
 
-// Record returns what the row held when it was last seen.
+// Record returns the content of the row when it was last seen.
 func (l *Lease) Record() Record { return l.record }
 
-// Seen takes the row as it was read after a moment; version 0 says that there is none. A write of this node whose
-// answer was lost shows here.
+// Observe records the row as it was read after a time; version 0 means that there is no row. It also reveals a write of this
+// node whose answer was lost.
 func (l *Lease) Observe(now time.Time, r Record, version int64) {
 	if !l.known || version != l.version {
 		l.rowSeenAt = now
@@ -117,11 +117,11 @@
 	case r.Token != l.lastToken || r.Holder != l.self || r.Released:
 		l.token = 0
 	case l.lastToken > 0:
-		l.token = l.lastToken // A conflict was with a write of this node's own.
+		l.token = l.lastToken // The conflict was with a write of this node itself.
 	}
 }
 
-// MayTakeAt returns when this node may write itself as the holder; ok is false where the row is not known.
+// AcquirableAt returns when this node may acquire the lease; ok is false if the row is not known.
 func (l *Lease) AcquirableAt() (at time.Time, ok bool) {
 	if !l.known {
 		return time.Time{}, false
@@ -136,7 +136,7 @@
 	return at, true
 }
 
-// Take returns the write that begins a term of this node, which is sent at a moment not before MayTakeAt.
+// Acquire returns the write that begins a term of this node, to be sent at a time not before AcquirableAt.
 func (l *Lease) Acquire(now time.Time) (r Record, expect int64) {
 	recent := append(slices.Clone(l.record.Recent), l.record.Holder)
 	recent = slices.DeleteFunc(recent, func(name string) bool { return name == l.self || name == "" })
@@ -144,12 +144,12 @@
 	return l.newWrite(now, Record{Holder: l.self, Address: l.address, Token: l.record.Token + 1, Recent: recent})
 }
 
-// Renew returns the write that makes this node's term longer, which is sent at a moment.
+// Renew returns the write that extends this node's term, to be sent at a time.
 func (l *Lease) Renew(now time.Time) (r Record, expect int64) {
 	return l.newWrite(now, l.record)
 }
 
-// Release ends this node's term at once and returns the write that tells so.
+// Release ends this node's term at once and returns the write that announces it.
 func (l *Lease) Release(now time.Time) (r Record, expect int64) {
 	l.token, l.lastToken = 0, 0
 	r = l.record
@@ -157,7 +157,7 @@
 	return l.newWrite(now, r)
 }
 
-// send remembers a write.
+// newWrite records a pending write and returns it.
 func (l *Lease) newWrite(now time.Time, r Record) (Record, int64) {
 	l.lastWriteID++
 	r.WriteID = l.lastWriteID
@@ -166,29 +166,29 @@
 	return r, l.version
 }
 
-// Written says that the newest write was done, and of which version the row is now.
+// WriteSucceeded records that the newest write was applied, and the new version of the row.
 func (l *Lease) WriteSucceeded(now time.Time, version int64) {
 	l.Observe(now, l.pending[len(l.pending)-1].record, version)
 }
 
-// Conflict says that the newest write was not done, since the row had changed. Until it is read again this node
-// neither acts nor writes: another may hold the lease.
+// WriteConflicted records that the newest write was rejected because the row had changed. Until the row is read again this
+// node neither acts nor writes, as another one may hold the lease.
 func (l *Lease) WriteConflicted() { l.known, l.token = false, 0 }
 
-// Unknown says that the outcome of the newest write is not known: the row is read before the next one. The term
-// goes on until its end.
+// WriteUncertain records that the outcome of the newest write is not known: the row is read before the next one. The term
+// continues until its end.
 func (l *Lease) WriteUncertain() { l.known = false }
 
 // Known reports whether the row is known, so that a write may be tried.
 func (l *Lease) Known() bool { return l.known }
 
-// confirm begins or lengthens this node's term: a write was done. The term counts from when that was sent.
+// confirmWrite begins or extends this node's term after a write was applied. The term counts from when the write was sent.
 func (l *Lease) confirmWrite(p pending) {
 	l.token, l.lastToken = p.record.Token, p.record.Token
 	l.renewedAt, l.until = p.sent, p.sent.Add(l.timing.TTL)
 }
 
-// later returns the later of two moments.
+// later returns the later of two times.
 func later(a, b time.Time) time.Time {
 	if b.After(a) {
 		return b
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -10,7 +10,7 @@
 	start  = time.Unix(1000, 0)
 )
 
-// at returns a moment some milliseconds after the start.
+// at returns the time some milliseconds after the start.
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
 // store is the row in the platform's store.
@@ -19,7 +19,7 @@
 	version int64
 }
 
-// write does a write if its condition holds.
+// write applies a write if its condition holds.
 func (s *store) write(r Record, expect int64) bool {
 	if expect != s.version {
 		return false
@@ -29,35 +29,35 @@
 	return true
 }
 
-// TestALeaseCountsFromTheSending holds that a term ends its life after its renewal was sent, not after the
-// answer came, and that a renewal whose answer was lost counts once it is seen.
+// TestTermStartsWhenTheWriteIsSent checks that a term lasts for the TTL from the time its renewal was sent, not from the
+// time of the answer, and that a renewal whose answer was lost counts once it is seen in the row.
 func TestTermStartsWhenTheWriteIsSent(t *testing.T) {
 	s, l := &store{}, New("a", "a:1", timing)
 	l.Observe(at(0), s.record, s.version)
 	s.write(l.Acquire(at(10)))
 	l.WriteSucceeded(at(900), s.version)
 	if _, ok := l.Holds(at(2009)); !ok {
-		t.Error("the term ended before its life")
+		t.Error("the term ended before its TTL")
 	}
 	if _, ok := l.Holds(at(2010)); ok {
-		t.Error("the term goes on after its life, counted from the sending")
+		t.Error("the term continues after its TTL, counted from the time of sending")
 	}
 	s.write(l.Renew(at(1500)))
 	l.WriteUncertain()
 	if _, ok := l.Holds(at(2011)); ok {
-		t.Error("a renewal of unknown outcome counts")
+		t.Error("a renewal of unknown outcome extends the term")
 	}
 	l.Observe(at(1900), s.record, s.version)
 	if _, ok := l.Holds(at(3499)); !ok {
-		t.Error("a renewal that was done does not count, since its answer was lost")
+		t.Error("a renewal that was applied does not extend the term, since its answer was lost")
 	}
 	if _, ok := l.Holds(at(3500)); ok {
-		t.Error("the renewal counts from when it was seen")
+		t.Error("the renewal counts from the time it was seen")
 	}
 }
 
-// TestATakeOverWaitsTheLeaseOut holds that a row must have been seen unchanged for a life and a margin, that a
-// renewal begins that anew, and that a released one is free at once.
+// TestTakeoverWaitsForExpiry checks that a row must have been seen unchanged for the TTL and the margin, that a
+// renewal restarts this wait, and that a released lease can be acquired at once.
 func TestTakeoverWaitsForExpiry(t *testing.T) {
 	s, a, b := &store{}, New("a", "", timing), New("b", "", timing)
 	a.Observe(at(0), s.record, s.version)
@@ -71,11 +71,11 @@
 	s.write(a.Renew(at(1000)))
 	a.WriteSucceeded(at(1005), s.version)
 	if s.write(stale, expect) {
-		t.Error("b took over though the lease was renewed")
+		t.Error("b took over although the lease was renewed")
 	}
 	b.WriteConflicted()
 	if _, ok := b.AcquirableAt(); ok {
-		t.Error("b may take over without having read the row")
+		t.Error("b may take over before reading the row")
 	}
 	s.write(a.Release(at(1500)))
 	if _, ok := a.Holds(at(1501)); ok {
@@ -83,7 +83,7 @@
 	}
 	b.Observe(at(1600), s.record, s.version)
 	if from, _ := b.AcquirableAt(); from != at(1600) {
-		t.Errorf("b waits until %v for a lease that was released", from.Sub(start))
+		t.Errorf("b waits until %v for a released lease", from.Sub(start))
 	}
 	s.write(b.Acquire(at(1600)))
 	b.WriteSucceeded(at(1605), s.version)
@@ -92,23 +92,23 @@
 	}
 }
 
-// TestATermThatRanOutIsResumed holds that a holder whose renewals failed goes on as soon as one succeeds, without waiting the
-// lease out, as long as nobody took over; and that it does not after its release, or as another process.
+// TestExpiredTermIsResumed checks that a holder whose renewals failed continues as soon as one succeeds, without waiting
+// for expiry, as long as nobody took over; and that it does not after its release, or as another process.
 func TestExpiredTermIsResumed(t *testing.T) {
 	s, a, b := &store{}, New("a", "", timing), New("b", "", timing)
 	a.Observe(at(0), s.record, s.version)
 	s.write(a.Acquire(at(0)))
 	a.WriteSucceeded(at(5), s.version)
-	a.Renew(at(1000)) // It reaches no store.
+	a.Renew(at(1000)) // It does not reach the store.
 	a.WriteUncertain()
 	a.Observe(at(5000), s.record, s.version)
 	if _, ok := a.Holds(at(5000)); ok || !a.CanResume() {
-		t.Errorf("holds %v, resumes %v", ok, a.CanResume())
+		t.Errorf("holds %v, can resume %v", ok, a.CanResume())
 	}
 	b.Observe(at(2600), s.record, s.version)
 	taken, expect := b.Acquire(at(5005))
 	if !s.write(a.Renew(at(5000))) || s.write(taken, expect) {
-		t.Error("both wrote")
+		t.Error("want the renewal applied and the takeover rejected")
 	}
 	a.WriteSucceeded(at(5010), s.version)
 	if term, ok := a.Holds(at(6999)); !ok || term.Token != 1 {
@@ -122,12 +122,12 @@
 	s.write(a.Release(at(6500)))
 	a.WriteSucceeded(at(6505), s.version)
 	if a.CanResume() {
-		t.Error("a term that was released is resumed")
+		t.Error("a released term is resumed")
 	}
 }
 
-// TestNoReturnWithinApart holds that a former holder does not come back, after another's term, within the time in
-// which holders must not act in turn, also where it has started again.
+// TestFormerHolderWaitsForTheReturnDelay checks that a former holder does not acquire the lease within ReturnDelay after
+// another node's term, also if it has restarted.
 func TestFormerHolderWaitsForTheReturnDelay(t *testing.T) {
 	s, a, b := &store{}, New("a", "", timing), New("b", "", timing)
 	a.Observe(at(0), s.record, s.version)
--- a/internal/lease/model_test.go
+++ b/internal/lease/model_test.go
@@ -8,41 +8,42 @@
 	"time"
 )
 
-// A search, by seed, over orders of steps of two or three nodes and the store: a node reads the row, sends a write, the write is
-// done now or later or never, its answer comes or is lost, a node stands still while time passes for the others. It holds
-// that no two nodes ever may act at one moment, and that tokens rise; and it finds each of three planted faults.
+// The model runs random sequences of steps of two or three nodes and the store, by seed: a node reads the row or sends a
+// write; the write is applied now, later or never; its answer arrives or is lost; a node stalls while time passes for the
+// others. At most one node may act at any time, and tokens must not decrease. The model must also detect each of three
+// mutations of the protocol.
 
 const (
-	tick        = 500 * time.Millisecond // tick is the least time that passes in the model.
-	modelRuns   = 15_000                 // modelWalks is how many orders of steps are tried.
-	modelSteps  = 60                     // modelSteps is how many steps each has.
-	maxInFlight = 2                      // flightMost is how many writes of a node are on their way at once.
+	tick        = 500 * time.Millisecond // tick is the unit of time in the model.
+	modelRuns   = 15_000                 // modelRuns is how many sequences are run.
+	modelSteps  = 60                     // modelSteps is the number of steps per sequence.
+	maxInFlight = 2                      // maxInFlight is how many writes of a node may be in transit at once.
 )
 
-// modelTerms make a lease two ticks long, with one tick of margin.
+// modelTiming makes a lease two ticks long, with a margin of one tick.
 var modelTiming = Timing{TTL: 2 * tick, Margin: tick, ReturnDelay: 3 * tick}
 
-// plant is a fault built into the protocol.
+// mutation is a fault built into the protocol.
 type mutation int
 
 const (
 	noMutation      mutation = iota
-	skipWait                 // noWait takes a lease over without waiting it out.
-	countFromAnswer          // fromAnswer counts a lease from when the answer came.
-	localToken               // tokenByItself draws the token at the node, not from the row.
+	skipWait                 // skipWait acquires the lease without waiting for expiry.
+	countFromAnswer          // countFromAnswer counts a lease from when the answer arrived.
+	localToken               // localToken takes the token from the node, not from the row.
 )
 
 type (
-	// flight is a write on its way to the store.
+	// inFlightWrite is a write in transit to the store, or its answer.
 	inFlightWrite struct {
 		node   int
 		record Record
 		expect int64
-		done   bool // done says that the store did it, and the answer is on its way.
+		done   bool // done is set once the store handled it and the answer is in transit.
 		ok     bool
 	}
 
-	// world is a state of the model.
+	// model is a state of the nodes and the store.
 	model struct {
 		ticks        int
 		store        store
@@ -52,10 +53,10 @@
 	}
 )
 
-// at returns the model's time.
+// now returns the model's time.
 func (w *model) now() time.Time { return start.Add(time.Duration(w.ticks) * tick) }
 
-// steps returns what can happen next.
+// steps returns the steps that are possible next.
 func (w *model) steps(p mutation) []func() {
 	var out []func()
 	add := func(f func()) { out = append(out, f) }
@@ -85,7 +86,7 @@
 	return out
 }
 
-// answer lets the answer to a write come.
+// deliverAnswer delivers the answer to a write.
 func (w *model) deliverAnswer(i int, p mutation) {
 	f := w.inFlight[i]
 	w.inFlight = slices.Delete(w.inFlight, i, i+1)
@@ -102,7 +103,7 @@
 	}
 }
 
-// flying counts the writes of a node that are on their way.
+// countInFlight counts the writes of a node that are in transit.
 func countInFlight(flights []inFlightWrite, node int) int {
 	n := 0
 	for _, f := range flights {
@@ -113,7 +114,7 @@
 	return n
 }
 
-// mayWrite reports whether a node's view allows it a write.
+// mayWrite reports whether a node may send a write according to its view.
 func (w *model) mayWrite(i int, p mutation) bool {
 	l := &w.nodes[i]
 	at, known := l.AcquirableAt()
@@ -121,7 +122,7 @@
 	return known && (holds || l.CanResume() || p == skipWait || !w.now().Before(at))
 }
 
-// write lets a node send a write.
+// write makes a node send a write.
 func (w *model) write(i int, p mutation) (r Record, expect int64) {
 	l := &w.nodes[i]
 	if _, holds := l.Holds(w.now()); holds || l.CanResume() {
@@ -135,7 +136,7 @@
 	return r, expect
 }
 
-// fault returns what must never be in a state, or nothing.
+// violation returns the invariant that the state violates, or nothing.
 func (w *model) violation() string {
 	holders := 0
 	for i := range w.nodes {
@@ -147,13 +148,13 @@
 		return "two nodes may act"
 	}
 	if w.store.record.Token < w.highestToken {
-		return "a token went back"
+		return "a token decreased"
 	}
 	w.highestToken = w.store.record.Token
 	return ""
 }
 
-// search tries orders of steps and returns the first fault, and after how many orders it was found.
+// search runs sequences of steps and returns the first violation, and the number of sequences run before it.
 func search(nodes int, p mutation) (violation string, runs int) {
 	for run := range modelRuns {
 		rnd := rand.New(rand.NewPCG(uint64(run), uint64(nodes)))
@@ -172,24 +173,24 @@
 	return "", modelRuns
 }
 
-// TestNoTwoNodesMayActAtOnce holds that in no order of steps two nodes may act at one moment.
+// TestAtMostOneHolder checks that in no sequence of steps two nodes may act at the same time.
 func TestAtMostOneHolder(t *testing.T) {
 	for _, nodes := range []int{2, 3} {
 		violation, runs := search(nodes, noMutation)
 		if violation != "" {
-			t.Errorf("%d nodes, after %d orders: %s", nodes, runs, violation)
+			t.Errorf("%d nodes, after %d sequences: %s", nodes, runs, violation)
 		}
-		t.Logf("%d nodes: %d orders", nodes, runs)
+		t.Logf("%d nodes: %d sequences", nodes, runs)
 	}
 }
 
-// TestTheModelFindsPlantedFaults holds that the search finds what a wrong protocol would do.
+// TestModelDetectsMutations checks that the model detects faults of the protocol.
 func TestModelDetectsMutations(t *testing.T) {
-	for name, p := range map[string]mutation{"no wait at the take-over": skipWait, "a lease counted from the answer": countFromAnswer, "a token not from the row": localToken} {
+	for name, p := range map[string]mutation{"no wait before a takeover": skipWait, "lease counted from the answer": countFromAnswer, "token not from the row": localToken} {
 		if violation, runs := search(2, p); violation == "" {
-			t.Errorf("%s: not found in %d orders", name, runs)
+			t.Errorf("%s: not found in %d sequences", name, runs)
 		} else {
-			t.Logf("%s: %s, after %d orders", name, violation, runs)
+			t.Logf("%s: %s, after %d sequences", name, violation, runs)
 		}
 	}
 }
