--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -1,8 +1,8 @@
-// Package duty carries out what one node at a time does for all towards the platform: it reports usage and orders
-// engines. Each node sends its counts to the holder; a few stand ready to become it.
+// Package duty does the work that one node at a time does for all: it reports usage to the platform and orders engines.
+// Every node sends its counts to the lease holder; a few nodes are candidates to succeed it.
 //
-// The holder writes the lease's row and all that must outlive it in one transaction, so that a node which has lost the
-// lease can write nothing. What is reported is in the store before it is sent, and is the same whoever sends it.
+// The holder writes the lease's row together with all state that must outlive it in one transaction, so that a node that
+// has lost the lease can't write. Reports are in the store before they are sent, and are the same whichever node sends them.
 package duty
 
 import (
@@ -21,63 +21,64 @@
 )
 
 const (
-	// table holds the lease, the counts and the orders, in one part of it, so that one transaction writes them.
+	// table holds the lease, the counts and the orders in a single partition, so that one transaction can write them.
 	table = "croftturn-duties"
 	part  = "duties"
 
-	// The keys of rows; those of counts are the ledger's.
+	// Row keys; package usage defines those of the counts.
 	keyLease  = "lease"
 	keyOrders = "orders"
 
-	// MethodUsage is the peers' method that takes a node's counts.
+	// MethodUsage is the peer method that accepts a node's counts.
 	MethodUsage = "usage"
 
-	// reportEvery is how often a node sends its counts, and writeEvery how often the holder writes what is new. What a
-	// node counted in half of both, on the mean, is lost with all nodes: 0.35 s, 7 in 100 of a window of five seconds.
+	// reportInterval is how often a node sends its counts, and writeInterval how often the holder writes changes. If all nodes
+	// are lost, the counts of half of both intervals are lost on average: 0.35 s, 7% of a window of five seconds.
 	reportInterval = 250 * time.Millisecond
 	writeInterval  = 400 * time.Millisecond
 
-	// renewShare of the lease's life is how often it is renewed where there is nothing to write: one renewal may fail.
+	// renewIntervalShare is the share of the lease's TTL after which it is renewed if there is nothing to write, so that one
+	// renewal may fail.
 	renewIntervalShare = 0.35
 
-	// lifeShare of the time in which two holders must not act in turn is the life of a lease: a new holder is there
-	// soon, and a renewal may take some tenths of a second, as where the store takes 60 times as long.
+	// leaseTTLShare is the lease's TTL as a share of ReturnDelay. It is short enough for a new holder to take over soon, and long
+	// enough for a renewal to take some tenths of a second, as when the store takes 60 times as long as usual.
 	leaseTTLShare = 0.66
 
-	// margin is how long a take-over waits beyond the lease's life, for calls that are on their way.
+	// takeoverMargin is how long a takeover waits beyond the lease's TTL, for calls that are in transit.
 	takeoverMargin = 300 * time.Millisecond
 
-	// holderLife is how long after a holder's last renewal the others begin to watch the lease, and candidateWait how
-	// much later each further candidate does. Renewals come each 0.7 s at the latest.
+	// holderTimeout is how long after a holder's last renewal the candidates start to watch the lease, and candidateDelay how
+	// much later each further candidate does. Renewals come every 0.7 s at the latest.
 	holderTimeout  = 1200 * time.Millisecond
 	candidateDelay = 800 * time.Millisecond
 
-	// campaignPoll is how often a candidate looks whether it is its turn, and restPoll how often a node looks that is none,
-	// or that does not hold the duties: each wake-up of 390 nodes costs processor time.
+	// campaignPoll is how often a candidate checks whether it is its turn, and idlePoll how often a node that is no candidate or
+	// does not hold the lease checks its state. They are long since each wake-up on 390 nodes costs CPU time.
 	campaignPoll = 100 * time.Millisecond
 	idlePoll     = 500 * time.Millisecond
 
 	// reportTimeout bounds the call that sends a node's counts.
 	reportTimeout = time.Second
 
-	// callMost bounds a call to the platform.
+	// maxCallTime bounds a call to the platform.
 	maxCallTime = 1500 * time.Millisecond
 
-	// giveUpAfter is for how long the platform's calls may fail at a holder before it leaves them to another.
+	// releaseAfter is how long the holder's calls to the platform may fail before it releases the lease to another node.
 	releaseAfter = 4 * time.Second
 
-	// restAfter is how long such a holder does not try again.
+	// releaseCooldown is how long such a holder does not campaign again.
 	releaseCooldown = 8 * time.Second
 )
 
 var (
-	// ErrNone says that no engine of the kind can be had at present.
-	ErrNoCapacity = errors.New("duty: none can be had")
+	// ErrNoCapacity is returned if no engine of the kind is available at present.
+	ErrNoCapacity = errors.New("duty: no engine available")
 
-	// ErrRefused says that the platform will not take the call, however often it is made.
+	// ErrRefused is returned if the platform rejects the call permanently.
 	ErrRefused = errors.New("duty: the platform refuses the call")
 
-	// errNotHolder answers a node that takes this one for the holder.
+	// errNotHolder is returned to a node that mistakes this one for the holder.
 	errNotHolder = errors.New("this node does not hold the duties")
 )
 
@@ -88,12 +89,12 @@
 		Commit(ctx context.Context, tx feed.Tx) (version int64, err error)
 	}
 
-	// Platform takes the holder's calls.
+	// Platform handles the holder's calls.
 	Platform interface {
 		// Usage reports the counts of a window.
 		Usage(ctx context.Context, holder string, token int64, window int64, counts map[string]int) error
 
-		// Order asks for engines; the error is ErrNone where none can be had.
+		// Order orders engines; the error is ErrNoCapacity if none are available.
 		Order(ctx context.Context, holder string, token int64, o scaling.Order) error
 	}
 
@@ -104,13 +105,13 @@
 
 	// Node is the node that takes part.
 	Node interface {
-		// Rank returns how many nodes should become the holder before this one; ok is false where it should not.
+		// Rank returns how many nodes should become the holder before this one; ok is false if it is no candidate.
 		Rank(now time.Time) (rank int, ok bool)
 
-		// Pools returns what is seen of the pools whose engines can be ordered.
+		// Pools returns what this node knows of the pools whose engines can be ordered.
 		Pools(now time.Time) []Pool
 
-		// Work returns, by pool, the reading that this node gave to engines so far, in milliseconds of an engine.
+		// Work returns, by pool, the prompt-processing work that this node gave to engines so far, in milliseconds of engine time.
 		Work() map[string]scaling.Demand
 	}
 
@@ -121,27 +122,27 @@
 		Halls  map[string]scaling.Seen
 	}
 
-	// Settings are what the operators set.
+	// Settings configure a node's part.
 	Settings struct {
-		Name        string        // Name is this node's.
-		ProcessID   string        // Process tells this process from all others.
-		PeerAddress string        // PeerAddress is where peers call this node.
-		ReturnDelay time.Duration // Apart is the least time between two terms of one node with another's between them.
-		Window      time.Duration // Window is the length of a window of usage.
-		DueAfter    time.Duration // Late is how long after its end a window is due.
-		Usage       bool          // Usage says that usage is reported.
-		Scaling     bool          // Scaling says that engines are ordered.
+		Name        string        // Name is the name of this node.
+		ProcessID   string        // ProcessID is unique to this process.
+		PeerAddress string        // PeerAddress is this node's peer address.
+		ReturnDelay time.Duration // ReturnDelay is the least time between two terms of one node with a term of another node between them.
+		Window      time.Duration // Window is the length of a usage window.
+		DueAfter    time.Duration // DueAfter is how long after its end a window is due.
+		Usage       bool          // Usage enables usage reports.
+		Scaling     bool          // Scaling enables orders of engines.
 	}
 
-	// Holder is who holds the duties, as a node knows it.
+	// Holder is the lease holder, as far as a node knows.
 	Holder struct {
 		Token     int64
 		Address   string
-		RenewedAt time.Time // SaidAt is when the holder last renewed its lease, on this node's clock.
-		Released  bool      // Free says that the holder gave its term up.
+		RenewedAt time.Time // RenewedAt is when the holder last renewed its lease, on this node's clock.
+		Released  bool      // Released is set if the holder released its term.
 	}
 
-	// Duties is one node's part. Its methods may be called from many goroutines.
+	// Duties is one node's part. It is safe for concurrent use.
 	Duties struct {
 		settings Settings
 		store    Store
@@ -156,20 +157,20 @@
 
 		mu            sync.Mutex
 		lease         *lease.Lease
-		lastHolder    Holder                     // told is the holder that this node heard of last.
-		noHolderSince time.Time                  // aloneAt is since when this node would become the holder and hears of none; zero where it does.
-		ownToken      int64                      // mine is the token of this process's last term, until it gives it up.
-		cooldownUntil time.Time                  // restsTo is until when this node leaves the duties to others.
-		failingSince  time.Time                  // failing is since when the platform's calls fail; zero where they don't.
-		stopping      bool                       // releases says that this node stops.
-		demand        demand                     // demand is what engines are given to read, as the nodes tell the holder.
-		scalers       map[string]*scaling.Scaler // scalers are by pool.
-		storedOrders  string                     // orders is the row of orders as it lies in the store.
-		wake          chan struct{}              // wake ends the rest of hold.
+		lastHolder    Holder                     // lastHolder is the most recent holder that this node learned of.
+		noHolderSince time.Time                  // noHolderSince is since when this candidate has known of no active holder; zero if there is one.
+		ownToken      int64                      // ownToken is the token of this process's last term, until it is released.
+		cooldownUntil time.Time                  // cooldownUntil is until when this node does not campaign.
+		failingSince  time.Time                  // failingSince is since when the platform's calls have failed; zero if they succeed.
+		stopping      bool                       // stopping is set once this node is stopping.
+		demand        demand                     // demand is the load of all nodes, as reported to the holder.
+		scalers       map[string]*scaling.Scaler // scalers holds the scalers by pool.
+		storedOrders  string                     // storedOrders is the row of orders as last stored.
+		wake          chan struct{}              // wake wakes runLease early.
 	}
 )
 
-// New returns a node's part in the duties. Run begins it.
+// New returns a node's part; Run starts it.
 func New(now time.Time, s Settings, store Store, p Platform, caller Caller, node Node, log *slog.Logger) *Duties {
 	day := usage.NewClock(now, clock.Wall(now))
 	return &Duties{
@@ -180,7 +181,7 @@
 	}
 }
 
-// life returns the life of the lease.
+// leaseTTL returns the TTL of the lease.
 func (s Settings) leaseTTL() time.Duration {
 	return time.Duration(leaseTTLShare * float64(s.ReturnDelay))
 }
@@ -206,14 +207,14 @@
 	return d.activeTerm(now)
 }
 
-// acts returns the term in which this node may act: it holds the lease, and has taken what the holder before left. Counts
-// that came between the two would be lost. The caller holds the lock.
+// activeTerm returns the term in which this node may act: it holds the lease and has loaded the state of the previous holder.
+// Counts accepted before that would be lost. The caller holds the lock.
 func (d *Duties) activeTerm(now time.Time) (lease.Term, bool) {
 	term, holds := d.lease.Holds(now)
 	return term, holds && term.Token == d.ownToken
 }
 
-// Hear takes who holds the duties, as a peer says.
+// ObserveHolder records the holder that a peer reports.
 func (d *Duties) ObserveHolder(h Holder) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -223,7 +224,7 @@
 	}
 }
 
-// Holder returns who holds the duties, as far as this node knows.
+// Holder returns the lease holder, as far as this node knows.
 func (d *Duties) Holder(now time.Time) Holder {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -233,7 +234,7 @@
 	return d.lastHolder
 }
 
-// reportCounts sends this node's counts to the holder, until the context ends.
+// reportCounts sends this node's counts to the holder until the context ends.
 func (d *Duties) reportCounts(ctx context.Context) {
 	for pause.For(ctx, reportInterval) {
 		now := clock.Now()
@@ -248,11 +249,11 @@
 		r.Work = d.node.Work()
 		ack, err := d.sendCounts(ctx, h, &r)
 		if err != nil {
-			d.log.Debug("counts not sent", "holder", h.Address, "token", h.Token, "error", err.Error())
+			d.log.Debug("cannot send counts to the holder", "holder", h.Address, "token", h.Token, "error", err.Error())
 			continue
 		}
 		if moved := d.Counter.HandleAck(now, clock.Now(), ack); moved != 0 {
-			d.log.Warn("time of day put right", "by_ms", moved.Milliseconds(), "holder", h.Address)
+			d.log.Warn("wall clock corrected", "by_ms", moved.Milliseconds(), "holder", h.Address)
 		}
 	}
 }
@@ -271,12 +272,12 @@
 	return ack, nil
 }
 
-// TakeCounts takes a node's counts; it is the handler of MethodUsage.
+// HandleCounts accepts a node's counts; it is the handler of MethodUsage.
 func (d *Duties) HandleCounts(_ context.Context, r *usage.Report) (any, error) {
 	return d.addCounts(clock.Now(), r)
 }
 
-// take takes a node's counts, if this node is the holder.
+// addCounts adds a node's counts, if this node is the holder.
 func (d *Duties) addCounts(now time.Time, r *usage.Report) (usage.Ack, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -288,7 +289,7 @@
 	return d.ledger.AddReport(now, term.Token, *r), nil
 }
 
-// reportWindows reports the windows that are settled, while this node is the holder, until the context ends.
+// reportWindows reports settled windows while this node is the holder, until the context ends.
 func (d *Duties) reportWindows(ctx context.Context) {
 	var backoff pause.Backoff
 	for ctx.Err() == nil {
@@ -308,7 +309,7 @@
 		})
 		after := clock.Since(begin)
 		if err != nil && !errors.Is(err, ErrRefused) {
-			d.log.Warn("usage not reported", "window", w.Number, "token", term.Token, "ms", after.Milliseconds(), "error", err.Error())
+			d.log.Warn("cannot report usage; retrying", "window", w.Number, "token", term.Token, "ms", after.Milliseconds(), "error", err.Error())
 			backoff.Wait(ctx)
 			continue
 		}
@@ -319,7 +320,7 @@
 	}
 }
 
-// call makes a call to the platform that ends before the term does, and notes whether the platform can be called.
+// callPlatform makes a call to the platform that ends before the term does, and records whether the platform is reachable.
 func (d *Duties) callPlatform(ctx context.Context, term lease.Term, f func(ctx context.Context) error) error {
 	now := clock.Now()
 	left := min(term.Until.Sub(now), maxCallTime)
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -8,19 +8,19 @@
 	"github.com/croftturn/croftturn/internal/lease"
 )
 
-// TestCountsAreReportedOnce holds that what three nodes count is reported whole and once, with one holder.
+// TestCountsAreReportedOnce checks that the counts of three nodes are reported completely and once, with one holder.
 func TestCountsAreReportedOnce(t *testing.T) {
 	r := newTestCluster(t, 3)
 	r.holder("n0")
 	r.waitReported(r.countRequests(time.Second, "n0", "n1", "n2"))
 }
 
-// TestANextHolderGoesOn holds that after the holder is killed, turned away by the store, or deaf to the platform's API, another
-// reports what is due, the same and no less than what was in the store.
+// TestNextHolderContinues checks that after the holder is killed, loses access to the store or stops, another node reports
+// what is due, without changes to or loss of what was in the store.
 func TestNextHolderContinues(t *testing.T) {
 	for how, f := range map[string]func(r *testCluster, name string){
 		"killed":      func(r *testCluster, name string) { r.kill[name]() },
-		"turned away": func(r *testCluster, name string) { r.platform.mark(r.platform.storeDown, name) },
+		"store unavailable": func(r *testCluster, name string) { r.platform.mark(r.platform.storeDown, name) },
 		"stops":       func(r *testCluster, name string) { r.nodes[name].Stop() },
 	} {
 		t.Run(how, func(t *testing.T) {
@@ -39,7 +39,7 @@
 			begin := time.Now()
 			next := r.holder(others...)
 			if took := time.Since(begin); how == "stops" && took > returnDelay {
-				t.Errorf("a planned hand-over took %v", took)
+				t.Errorf("a planned takeover took %v", took)
 			}
 			r.waitReported(n + r.countRequests(500*time.Millisecond, others...))
 			t.Logf("%s, then %s", first, next)
@@ -47,7 +47,7 @@
 	}
 }
 
-// TestAHolderWhoseCallsFailLeaves holds that a holder which the platform's API does not answer leaves the duties to another.
+// TestHolderReleasesIfItsCallsFail checks that a holder whose calls the platform does not answer releases the lease.
 func TestHolderReleasesIfItsCallsFail(t *testing.T) {
 	r := newTestCluster(t, 2)
 	r.platform.mark(r.platform.apiDown, "n0")
@@ -57,7 +57,8 @@
 	r.waitReported(n)
 }
 
-// TestLostAnswersOfTheStore holds that with answers of the store lost for a second the counts are reported whole and once.
+// TestLostAnswersOfTheStore checks that counts are reported completely and once although the store's answers are lost for a
+// second.
 func TestLostAnswersOfTheStore(t *testing.T) {
 	r := newTestCluster(t, 2)
 	r.holder("n0")
@@ -68,8 +69,8 @@
 	r.waitReported(n)
 }
 
-// TestATakeOverWhoseAnswerIsLost holds that a node which learns only by reading that it took over goes on with what the holder
-// before had written.
+// TestTakeoverWithLostAnswer checks that a node which learns of its takeover only by reading the row continues with the state
+// of the previous holder.
 func TestTakeoverWithLostAnswer(t *testing.T) {
 	r := newTestCluster(t, 2)
 	r.holder("n0")
@@ -83,13 +84,13 @@
 	r.waitReported(n)
 }
 
-// TestACallEndsWithinTheTerm holds that no call is begun after the term's end, and that one which is begun ends by then.
+// TestPlatformCallEndsWithinTheTerm checks that no call starts after the end of the term, and that one in progress ends by then.
 func TestPlatformCallEndsWithinTheTerm(t *testing.T) {
 	d := New(time.Now(), Settings{Name: "n", ReturnDelay: returnDelay, Window: window, DueAfter: dueAfter}, nil, nil, nil, nil, nil)
 	until := time.Now().Add(50 * time.Millisecond)
 	err := d.callPlatform(context.Background(), lease.Term{Token: 1, Until: until}, func(ctx context.Context) error {
 		if end, ok := ctx.Deadline(); !ok || end.After(until.Add(time.Millisecond)) {
-			t.Errorf("the call may go on until %v after the term", end.Sub(until))
+			t.Errorf("the call may continue until %v after the term", end.Sub(until))
 		}
 		return nil
 	})
@@ -97,12 +98,12 @@
 		t.Error(err)
 	}
 	if err := d.callPlatform(context.Background(), lease.Term{Token: 1, Until: time.Now()}, func(context.Context) error { t.Error("called"); return nil }); err == nil {
-		t.Error("a call after the term is no error")
+		t.Error("a call after the term succeeded")
 	}
 }
 
-// TestOperatorsSeeWhoHoldsWhat holds that operators are shown the same holder and term at each node, and at the holder the windows
-// with all that was counted.
+// TestStatusShowsHolderAndWindows checks that all nodes show the same holder and term, and that the holder shows the windows
+// with all counts.
 func TestStatusShowsHolderAndWindows(t *testing.T) {
 	r := newTestCluster(t, 2)
 	r.holder("n0")
@@ -111,13 +112,13 @@
 	now := time.Now()
 	held, other := r.nodes["n0"].Status(now), r.nodes["n1"].Status(now)
 	if held.Holder.Token == 0 || held.Holder.Token != other.Holder.Token || held.Holder.Address != other.Holder.Address || held.Holder.Released {
-		t.Errorf("the holder is shown as %+v, elsewhere as %+v", held.Holder, other.Holder)
+		t.Errorf("the holder shows %+v as the holder, the other node %+v", held.Holder, other.Holder)
 	}
 	shown := 0
 	for _, w := range held.Windows {
 		shown += w.Requests()
 	}
 	if shown != n || len(other.Windows) > 0 {
-		t.Errorf("%d of %d requests are shown at the holder, %d windows elsewhere", shown, n, len(other.Windows))
+		t.Errorf("the holder shows %d of %d requests, the other node %d windows", shown, n, len(other.Windows))
 	}
 }
--- a/internal/duty/hold.go
+++ b/internal/duty/hold.go
@@ -16,14 +16,14 @@
 	"github.com/croftturn/croftturn/internal/scaling"
 )
 
-// hold becomes the holder when it is this node's turn, and stays it, until the context ends.
+// runLease acquires the lease when it is this node's turn, and keeps it, until the context ends.
 func (d *Duties) runLease(ctx context.Context) {
 	var backoff pause.Backoff
 	for ctx.Err() == nil {
 		now := clock.Now()
 		wait, err := d.stepLease(ctx, now)
 		if err != nil && ctx.Err() == nil {
-			d.log.Warn("lease not written or read", "error", err.Error())
+			d.log.Warn("cannot read or write the lease; retrying", "error", err.Error())
 			backoff.Wait(ctx)
 			continue
 		}
@@ -32,7 +32,7 @@
 	}
 }
 
-// step does what is due for the lease, and returns when to look again.
+// stepLease does what is due for the lease, and returns when to check again.
 func (d *Duties) stepLease(ctx context.Context, now time.Time) (wait time.Duration, err error) {
 	if _, holds := d.Holds(now); holds || d.canResume() {
 		return d.renewLease(ctx, now)
@@ -47,15 +47,15 @@
 	return campaignPoll, nil
 }
 
-// resumes reports whether this node's last term may go on, though it ran out: nobody has been seen to take over.
+// canResume reports whether this node may continue its last term although it expired: no takeover was seen.
 func (d *Duties) canResume() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return !d.stopping && (d.lease.CanResume() || !d.lease.Known() && d.ownToken > 0 && d.lastHolder.Token == d.ownToken)
 }
 
-// mayTry reports whether it is the turn of this node, which stands ready if candidate, to become the holder: nobody has said for a
-// while that it is, and those that should before this one, as many as its rank, have had their time.
+// mayCampaign reports whether it is this node's turn to acquire the lease. It must be a candidate, no active holder may be
+// known for a while, and the candidates before it, as many as its rank, must have had their time.
 func (d *Duties) mayCampaign(now time.Time, rank int, candidate bool) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -73,7 +73,7 @@
 	return now.Sub(d.noHolderSince) >= time.Duration(rank)*candidateDelay
 }
 
-// campaign reads the lease, waits it out and takes it. It returns when to try again.
+// campaign reads the lease, waits for its expiry and acquires it. It returns when to try again.
 func (d *Duties) campaign(ctx context.Context, now time.Time) (wait time.Duration, err error) {
 	d.mu.Lock()
 	at, known := d.lease.AcquirableAt()
@@ -103,8 +103,8 @@
 	return 0, d.beginTerm(rows)
 }
 
-// tookUnheard reports whether this node holds the lease by a write of which it has learned only now that it was done. What the
-// holder before left is still to be taken then: without it, windows that this one had settled would be counted anew.
+// termNotBegun reports whether this node holds the lease by a write that it only now learned was applied. The previous
+// holder's state must then still be loaded: without it, windows already settled would be counted again.
 func (d *Duties) termNotBegun(now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -112,17 +112,17 @@
 	return holds && term.Token != d.ownToken
 }
 
-// took begins a term with what the holder before left.
+// beginTerm begins a term with the state of the previous holder.
 func (d *Duties) beginTerm(rows []feed.Row) error {
 	now := clock.Now()
 	if err := d.ledger.Load(now, rows); err != nil {
-		d.log.Error("counts of the holder before not understood", "error", err.Error())
+		d.log.Error("cannot decode the counts of the previous holder", "error", err.Error())
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	term, ok := d.lease.Holds(now)
 	if !ok {
-		return nil // It ran out meanwhile.
+		return nil // The term expired meanwhile.
 	}
 	d.demand = demand{nodes: map[string]*nodeWork{}, since: now}
 	d.failingSince = time.Time{}
@@ -134,15 +134,15 @@
 		}
 	}
 	d.ownToken = term.Token
-	d.log.Info("duties taken", "token", term.Token, "before", d.lease.Record().Recent, "rows", len(rows))
+	d.log.Info("duties acquired", "token", term.Token, "before", d.lease.Record().Recent, "rows", len(rows))
 	return nil
 }
 
-// restore takes the orders of the holder before. The caller holds the lock.
+// restoreOrders restores the orders of the previous holder. The caller holds the lock.
 func (d *Duties) restoreOrders(now time.Time, value []byte) {
 	var all []scaling.Order
 	if err := json.Unmarshal(value, &all); err != nil {
-		d.log.Error("orders of the holder before not understood", "error", err.Error())
+		d.log.Error("cannot decode the orders of the previous holder", "error", err.Error())
 		return
 	}
 	for _, o := range all {
@@ -161,7 +161,7 @@
 	return s
 }
 
-// read reads all rows of the duties, as of one moment, and tells the lease.
+// readRows reads a consistent snapshot of all rows and updates the lease from it.
 func (d *Duties) readRows(ctx context.Context) ([]feed.Row, error) {
 	snap, err := d.store.List(ctx, table, part)
 	if err != nil {
@@ -174,7 +174,7 @@
 			continue
 		}
 		if err := json.Unmarshal(r.Value, &record); err != nil {
-			d.log.Error("lease not understood; it is taken as one that runs", "error", err.Error())
+			d.log.Error("cannot decode the lease; treating it as held", "error", err.Error())
 		}
 		version = r.Version
 	}
@@ -184,7 +184,7 @@
 	return snap.Rows, nil
 }
 
-// keep renews the lease and writes what is new. It returns when to do so again.
+// renewLease renews the lease and writes changes. It returns when to do so again.
 func (d *Duties) renewLease(ctx context.Context, now time.Time) (wait time.Duration, err error) {
 	d.mu.Lock()
 	known := d.lease.Known()
@@ -221,15 +221,15 @@
 	return min(writeInterval, renewInterval), nil
 }
 
-// settle settles the windows that are due.
+// settleWindows settles the windows that are due.
 func (d *Duties) settleWindows(now time.Time, term lease.Term) {
 	for _, w := range d.ledger.Settle(now) {
-		d.log.Info("window settled", "window", w.Number, "token", term.Token, "teams", len(w.Counts), "requests", w.Requests())
+		d.log.Info("usage window settled", "window", w.Number, "token", term.Token, "teams", len(w.Counts), "requests", w.Requests())
 	}
 }
 
-// mustRelease reports whether this node should leave the duties to another: it stops, or the platform has not
-// answered its calls for long. The caller holds the lock.
+// mustRelease reports whether this node should release the lease: it is stopping, or its calls to the platform have failed
+// for long. The caller holds the lock.
 func (d *Duties) mustRelease(now time.Time) bool {
 	if !d.failingSince.IsZero() && now.Sub(d.failingSince) > releaseAfter {
 		d.cooldownUntil = now.Add(releaseCooldown)
@@ -238,13 +238,13 @@
 	return d.stopping
 }
 
-// changes returns the rows that differ from what is in the store, and the ledger's state that they are of.
+// pendingRows returns the rows that differ from the store, and the ledger's revision that they reflect.
 func (d *Duties) pendingRows(now time.Time) (rows []feed.Row, state int64) {
 	rows, state = d.ledger.PendingRows(now)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var all []scaling.Order
-	for _, pool := range slices.Sorted(maps.Keys(d.scalers)) { // In one order, so that the row changes with the orders alone.
+	for _, pool := range slices.Sorted(maps.Keys(d.scalers)) { // Sorted, so that the row changes only if the orders do.
 		all = append(all, d.scalers[pool].All()...)
 	}
 	if text, err := json.Marshal(all); err == nil && len(all) > 0 && string(text) != d.storedOrders {
@@ -253,7 +253,7 @@
 	return rows, state
 }
 
-// written records what is in the store now.
+// markWritten records that rows were stored.
 func (d *Duties) markWritten(rows []feed.Row, state int64) {
 	d.ledger.MarkWritten(state)
 	d.mu.Lock()
@@ -265,7 +265,7 @@
 	}
 }
 
-// commit writes the lease's row, and others of the duties with it, if the lease's has not changed.
+// commit writes the lease's row, together with other rows, on condition that the lease's row has not changed.
 func (d *Duties) commit(ctx context.Context, r lease.Record, expect int64, rows []feed.Row) error {
 	value, err := json.Marshal(r)
 	if err != nil {
@@ -296,12 +296,12 @@
 		d.lease.WriteUncertain()
 	}
 	if err == nil {
-		return errors.New("the store did not tell the row's version")
+		return errors.New("the store did not return the row's version")
 	}
 	return fmt.Errorf("write lease: %w", err)
 }
 
-// release ends this node's term with a last write of what is new.
+// release ends this node's term, and writes the remaining changes with it.
 func (d *Duties) release(ctx context.Context, rows []feed.Row) error {
 	d.mu.Lock()
 	r, expect := d.lease.Release(clock.Now())
@@ -315,13 +315,13 @@
 	return nil
 }
 
-// Stop hands the duties over: this node becomes the holder no more, and leaves them if it is.
+// Stop makes this node release the lease if it holds it, and never acquire it again.
 func (d *Duties) Stop() {
 	d.mu.Lock()
 	d.stopping = true
 	d.mu.Unlock()
 	select {
 	case d.wake <- struct{}{}:
-	default: // It was woken already.
+	default: // It has been woken already.
 	}
 }
--- a/internal/duty/orders.go
+++ b/internal/duty/orders.go
@@ -11,33 +11,33 @@
 )
 
 const (
-	// ordersEvery is how often the holder looks at the load and the engines: engines that leave say so some 2.5 s
+	// orderInterval is how often the holder checks the load and the engines: engines announce that they leave some 2.5 s
 	// before, and start in four.
 	orderInterval = 250 * time.Millisecond
 
-	// demandOver is over how long the load is measured: requests come in clumps, of which half a second may have three
+	// demandWindow is the period over which the load is measured: requests arrive in bursts, and one half second may have three
 	// times as many as the next.
 	demandWindow = 2 * time.Second
 
-	// givenLife is how long what a node told of its work counts.
+	// nodeWorkTTL is how long a node's report of its work is valid.
 	nodeWorkTTL = 3 * time.Second
 )
 
 type (
-	// demand is what engines are given to read, over all nodes.
+	// demand is the work given to engines by all nodes.
 	demand struct {
 		since time.Time // since is when this node became the holder.
 		nodes map[string]*nodeWork
 	}
 
-	// given is the work of one node.
+	// nodeWork is the work given by one node: its latest report, and the one before.
 	nodeWork struct {
 		at, beforeAt time.Time
 		work, before map[string]scaling.Demand
 	}
 )
 
-// take takes what a node told of its work since its start.
+// update adds a node's report of its total work since its start.
 func (d *demand) update(now time.Time, node string, work map[string]scaling.Demand) {
 	g := d.nodes[node]
 	if g == nil {
@@ -50,7 +50,7 @@
 	}
 }
 
-// of returns how many engines of a pool are kept busy with what was told lately.
+// pool returns how many engines of a pool the recent work keeps busy.
 func (d *demand) pool(now time.Time, pool string) (sum scaling.Demand) {
 	for name, g := range d.nodes {
 		elapsed := g.at.Sub(g.beforeAt)
@@ -95,7 +95,7 @@
 	return s.Decide(now, p.Limits, p.Halls)
 }
 
-// order makes one order. An error says that the platform could not be called.
+// placeOrder places one order. It returns an error if the platform was not reachable.
 func (d *Duties) placeOrder(ctx context.Context, o scaling.Order) error {
 	begin := clock.Now()
 	term, ok := d.Holds(begin)
@@ -118,7 +118,7 @@
 		d.log.Info("engines ordered", "pool", o.Pool, "hall", o.Hall, "spot", o.Spot, "count", o.Count, "need", need, "token", term.Token, "ms", now.Sub(begin).Milliseconds())
 		return nil
 	}
-	d.log.Warn("engines not ordered", "pool", o.Pool, "hall", o.Hall, "spot", o.Spot, "count", o.Count, "need", need, "token", term.Token, "ms", now.Sub(begin).Milliseconds(), "error", err.Error())
+	d.log.Warn("cannot order engines", "pool", o.Pool, "hall", o.Hall, "spot", o.Spot, "count", o.Count, "need", need, "token", term.Token, "ms", now.Sub(begin).Milliseconds(), "error", err.Error())
 	if errors.Is(err, ErrNoCapacity) || errors.Is(err, ErrRefused) {
 		return nil
 	}
--- a/internal/duty/rig_test.go
+++ b/internal/duty/rig_test.go
@@ -22,44 +22,44 @@
 )
 
 type (
-	// memory is the platform: its store, which may lose answers or turn a node away, and what it was called with.
+	// fakePlatform is the store and the API of the platform. It can drop answers or reject a node, and records its calls.
 	fakePlatform struct {
 		mu          sync.Mutex
 		rows        map[string]feed.Row
 		version     int64
-		dropAnswers bool            // lose says that writes are done and not answered.
-		storeDown   map[string]bool // away holds the nodes that can't call the store.
-		stopped     map[string]bool // gone holds the nodes of which the others see that they stop or are silent.
-		apiDown     map[string]bool // dead holds the nodes whose calls the platform's API does not answer.
+		dropAnswers bool            // dropAnswers makes writes succeed without an answer.
+		storeDown   map[string]bool // storeDown holds the nodes that can't reach the store.
+		stopped     map[string]bool // stopped holds the nodes that others see as stopping or silent.
+		apiDown     map[string]bool // apiDown holds the nodes whose API calls fail.
 
-		reports map[int64][]string // reports holds, by window, what was reported.
+		reports map[int64][]string // reports holds the reports by window.
 		calls   []platformCall
 	}
 
-	// act is a call of a holder.
+	// platformCall is an API call of a holder.
 	platformCall struct {
 		holder string
 		token  int64
 		at     time.Time
 	}
 
-	// view is the platform as one node sees it.
+	// platformView is the platform as seen by one node.
 	platformView struct {
 		*fakePlatform
 		name string
 	}
 
-	// nodes are the nodes, by address.
+	// nodes holds the nodes by address.
 	nodes map[string]*Duties
 
-	// part of a node that the duties see.
+	// fakeNode is the node that takes part.
 	fakeNode struct {
 		memory *fakePlatform
 		index  int
 	}
 )
 
-var errDown = errors.New("away")
+var errDown = errors.New("unavailable")
 
 func newFakePlatform() *fakePlatform {
 	return &fakePlatform{rows: map[string]feed.Row{}, storeDown: map[string]bool{}, stopped: map[string]bool{}, apiDown: map[string]bool{}, reports: map[int64][]string{}}
@@ -141,15 +141,15 @@
 func (fakeNode) Pools(time.Time) []Pool          { return nil }
 func (fakeNode) Work() map[string]scaling.Demand { return nil }
 
-// rig is some nodes that run.
+// testCluster is a set of running nodes.
 type testCluster struct {
 	t        *testing.T
 	platform *fakePlatform
 	nodes    nodes
-	kill     map[string]func() // ends kills a node.
+	kill     map[string]func() // kill stops a node without a release.
 }
 
-// newRig starts nodes, of which the first is the first choice.
+// newTestCluster starts nodes; the first has the highest rank.
 func newTestCluster(t *testing.T, count int) *testCluster {
 	r := &testCluster{t: t, platform: newFakePlatform(), nodes: nodes{}, kill: map[string]func(){}}
 	made := make([]*Duties, count)
@@ -184,7 +184,7 @@
 	return r
 }
 
-// gossip tells all nodes who holds the duties.
+// gossip tells all nodes who the holder is.
 func (r *testCluster) gossip(ctx context.Context, all []*Duties) {
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
@@ -208,7 +208,7 @@
 	}
 }
 
-// holder waits until one of some nodes holds the duties.
+// holder waits until one of the given nodes is the holder.
 func (r *testCluster) holder(names ...string) string {
 	r.t.Helper()
 	for deadline := time.Now().Add(8 * time.Second); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
@@ -222,7 +222,7 @@
 	return ""
 }
 
-// began lets an engine begin requests that nodes sent, for a while, and returns how many.
+// countRequests counts requests at the given nodes for a while, and returns how many.
 func (r *testCluster) countRequests(d time.Duration, names ...string) int {
 	n := 0
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
@@ -234,7 +234,7 @@
 	return n
 }
 
-// reported waits until some requests were reported, and checks that no window was reported in two ways.
+// waitReported waits until the wanted number of requests was reported, and checks that repeated reports of a window are equal.
 func (r *testCluster) waitReported(want int) {
 	r.t.Helper()
 	got := 0
@@ -262,7 +262,8 @@
 	r.checkCalls()
 }
 
-// checkActs checks that tokens never fall, that none is of two holders, and that no holder comes back within Apart.
+// checkCalls checks that tokens never decrease, that no two holders share one, and that no holder returns within the return
+// delay.
 func (r *testCluster) checkCalls() {
 	r.t.Helper()
 	r.platform.mu.Lock()
@@ -275,20 +276,20 @@
 			case b.token < a.token, b.token == a.token && b.holder != a.holder:
 				r.t.Errorf("%+v after %+v", b, a)
 			case b.holder == a.holder && other && b.at.Sub(a.at) < returnDelay:
-				r.t.Errorf("%s acted again after %v, with another between", a.holder, b.at.Sub(a.at))
+				r.t.Errorf("%s acted again after %v, with another holder between", a.holder, b.at.Sub(a.at))
 			}
 		}
 	}
 }
 
-// set marks a node.
+// mark adds a node to a set.
 func (m *fakePlatform) mark(of map[string]bool, name string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	of[name] = true
 }
 
-// acknowledged waits until what nodes counted is in the store.
+// waitStored waits until the counts of nodes are in the store.
 func (r *testCluster) waitStored(names ...string) {
 	r.t.Helper()
 	for _, name := range names {
@@ -300,7 +301,7 @@
 	}
 }
 
-// loseAnswers says whether answers to writes are lost.
+// loseAnswers sets whether the answers to writes are lost.
 func (m *fakePlatform) loseAnswers(lose bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/duty/shown.go
+++ b/internal/duty/shown.go
@@ -7,16 +7,16 @@
 	"github.com/croftturn/croftturn/internal/usage"
 )
 
-// Shown is what operators are shown. Windows and orders are known at the holder alone.
+// Status is the state shown to operators. Only the holder knows the windows and orders.
 type Status struct {
 	Holder          Holder
-	PreviousHolders []string // Before are the holders before, the newest last, as this node last read them.
+	PreviousHolders []string // PreviousHolders are the former holders, the newest last, as last read by this node.
 	Windows         []usage.Window
 	Orders          []scaling.Order
-	Need            map[string]int // Need is, by pool, how many engines the load needs.
+	Need            map[string]int // Need is, by pool, how many engines the load requires.
 }
 
-// Shown returns what operators are shown.
+// Status returns the state shown to operators.
 func (d *Duties) Status(now time.Time) Status {
 	out := Status{Holder: d.Holder(now), Need: map[string]int{}}
 	out.Windows, _ = d.ledger.RecentWindows()
--- a/internal/usage/counter.go
+++ b/internal/usage/counter.go
@@ -1,10 +1,10 @@
-// Package usage counts the requests that engines began, by team and by window of the time of day, at each node, and
-// gathers the counts at one node, the holder, which settles and reports each window.
+// Package usage counts the requests that engines started, by team and by window of wall-clock time. Every node counts, and one
+// node, the holder, collects the counts, settles each window and reports it.
 //
-// Each node closes its counts into numbered batches, which it sends until the holder has them in the platform's store.
-// The holder remembers, there as well, the number of the last batch of each node that it added. So a batch counts once,
-// though it is sent again to the next holder; lost is what a node had not sent, or what the holder had not
-// written, when its process ended.
+// Each node closes its counts into numbered batches, which it sends until they are in the platform's store. The holder
+// stores the number of the last batch of each node that it added, so a batch counts once although it is sent again to the
+// next holder. Counts are lost only if the node's process ends before it sent them, or if it ends and the holder does, too,
+// before the holder stored them.
 package usage
 
 import (
@@ -15,24 +15,24 @@
 )
 
 const (
-	// batchesMost is how many closed batches a node keeps; while there is no holder, later counts are added to the
-	// newest that was not sent yet.
+	// maxBatches is how many closed batches a node keeps; while there is no holder, later counts are added to the newest
+	// batch that was not sent yet.
 	maxBatches = 8
 
-	// clockSlack is by how much a node's time of day may differ from the others' before it is put right: what
+	// maxClockSkew is how much a node's wall clock may differ from the others' before it is corrected: the time that
 	// messages and a busy processor take.
 	maxClockSkew = 150 * time.Millisecond
 
-	// emptyEvery is how often a node that counted lately sends a report without counts: the holder waits for it
+	// emptyReportInterval is how often a node that counted recently sends a report without counts: the holder waits for it
 	// before it settles a window.
 	emptyReportInterval = time.Second
 )
 
 type (
-	// Counts is how many requests engines began, by window and team.
+	// Counts is how many requests engines started, by window and team.
 	Counts map[int64]map[string]int
 
-	// Batch is a part of a node's counts; no count is in two of them.
+	// Batch is a part of a node's counts; every count is in one batch only.
 	Batch struct {
 		Number int64  `json:"n"`
 		Counts Counts `json:"c,omitempty"`
@@ -40,30 +40,30 @@
 
 	// Report is what a node sends to the holder.
 	Report struct {
-		Node    string  `json:"node"`    // Node tells one process from all others: its instance, a slash, and what is its own.
-		WallMs  int64   `json:"wall_ms"` // WallMs is the node's time of day; all counts up to then are in the batches.
+		Node    string  `json:"node"`    // Node is unique to one process: its instance, a slash, and a suffix of its own.
+		WallMs  int64   `json:"wall_ms"` // WallMs is the node's wall-clock time; all counts up to then are in the batches.
 		Batches []Batch `json:"batches,omitempty"`
 
-		Work map[string]scaling.Demand `json:"work,omitempty"` // Work is, by pool, the reading that this node has given to engines since its start, in milliseconds.
+		Work map[string]scaling.Demand `json:"work,omitempty"` // Work is, by pool, the prompt-processing work that this node has given to engines since its start, in milliseconds.
 	}
 
 	// Ack is the holder's answer.
 	Ack struct {
 		Token    int64 `json:"token"`
-		Received int64 `json:"taken"`   // Taken is the number of the last batch that the holder has.
-		Durable  int64 `json:"durable"` // Durable is that of the last one that outlives the holder.
-		WallMs   int64 `json:"wall_ms"` // WallMs is the time of day as most nodes have it; 0 where that is not known.
+		Received int64 `json:"taken"`   // Received is the number of the last batch that the holder has.
+		Durable  int64 `json:"durable"` // Durable is the number of the last batch in the store.
+		WallMs   int64 `json:"wall_ms"` // WallMs is the wall-clock time of most nodes; 0 if not known.
 	}
 
-	// Clock tells the time of day: that of the process's start, moved on by the steady clock, so that a step of the
-	// machine's own changes nothing, and put right by what the others have.
+	// Clock is a wall clock that starts from the process's start time and advances by the monotonic clock, so that a step of the
+	// machine's clock has no effect. It is corrected by the clocks of other nodes.
 	Clock struct {
 		mu       sync.Mutex
-		base     time.Time // zero is a moment of the process's clock.
-		baseWall time.Time // wall is the time of day then.
+		base     time.Time // base is a time of the process's clock.
+		baseWall time.Time // baseWall is the wall-clock time at base.
 	}
 
-	// Counter counts at one node. Its methods may be called from many goroutines.
+	// Counter counts at one node. It is safe for concurrent use.
 	Counter struct {
 		node   string
 		window time.Duration
@@ -71,28 +71,28 @@
 
 		mu           sync.Mutex
 		open         Counts
-		batches      []Batch // batches are closed and not known to be durable, the newest last.
-		lastNumber   int64   // number is that of the newest batch.
-		holderToken  int64   // token is of the holder that was sent to last.
-		lastSent     int64   // sent is the number of the last batch that was sent to anybody.
-		lastReceived int64   // taken is the number of the last batch that this holder has.
+		batches      []Batch // batches are closed and not known to be in the store, the newest last.
+		lastNumber   int64   // lastNumber is the number of the newest batch.
+		holderToken  int64   // holderToken is the token of the holder last sent to.
+		lastSent     int64   // lastSent is the number of the last batch sent to any holder.
+		lastReceived int64   // lastReceived is the number of the last batch that this holder has.
 
-		lastBeganAt  time.Time // beganAt is when an engine last began a request.
-		lastReportAt time.Time // reportAt is when a report was last made.
+		lastBeganAt  time.Time // lastBeganAt is when an engine last started a request.
+		lastReportAt time.Time // lastReportAt is when the last report was made.
 	}
 )
 
-// NewClock returns a clock from the time of day at a moment.
+// NewClock returns a clock with a wall-clock time at a time.
 func NewClock(now, wall time.Time) *Clock { return &Clock{base: now, baseWall: wall.Round(0)} }
 
-// At returns the time of day at a moment.
+// At returns the wall-clock time at a time.
 func (c *Clock) At(now time.Time) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.baseWall.Add(now.Sub(c.base))
 }
 
-// PutRight moves the clock where it differs by more than others' messages explain; it reports by how much.
+// Correct adjusts the clock by an offset larger than message delays explain; it returns the adjustment made.
 func (c *Clock) Correct(by time.Duration) time.Duration {
 	if by.Abs() <= maxClockSkew {
 		return 0
@@ -103,17 +103,17 @@
 	return by
 }
 
-// windowOf returns the number of the window of a time of day.
+// windowNumber returns the number of the window that contains a wall-clock time.
 func windowNumber(wall time.Time, length time.Duration) int64 {
 	return wall.UnixMilli() / length.Milliseconds()
 }
 
-// NewCounter returns a counter of a node for windows of a length.
+// NewCounter returns the counter of a node for windows of a length.
 func NewCounter(node string, window time.Duration, clock *Clock) *Counter {
 	return &Counter{node: node, window: window, clock: clock, open: Counts{}}
 }
 
-// Began counts a request of a team that an engine began.
+// Began counts a request of a team that an engine started.
 func (c *Counter) Began(now time.Time, team string) {
 	k := windowNumber(c.clock.At(now), c.window)
 	c.mu.Lock()
@@ -139,7 +139,7 @@
 	}
 }
 
-// Report closes the open counts and returns what is to be sent to the holder of a term; ok is false where nothing is.
+// Report closes the open counts and returns the report for the holder of a term; ok is false if there is nothing to send.
 func (c *Counter) Report(now time.Time, token int64) (r Report, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -162,14 +162,14 @@
 	return r, true
 }
 
-// Unkept returns how many batches, the open one among them, are not known to be in the store.
+// UnstoredBatches returns how many batches, including the open one, are not known to be in the store.
 func (c *Counter) UnstoredBatches() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.batches) + min(len(c.open), 1)
 }
 
-// closeBatch makes a batch of the open counts, or adds them to one that nobody has seen. The caller holds the lock.
+// closeBatch makes a batch of the open counts, or adds them to one that was never sent. The caller holds the lock.
 func (c *Counter) closeBatch() {
 	if n := len(c.batches); n >= maxBatches && c.batches[n-1].Number > c.lastSent {
 		c.batches[n-1].Counts.addAll(c.open)
@@ -180,7 +180,8 @@
 	c.open = Counts{}
 }
 
-// Acked takes the holder's answer to a report of a term that was sent and received at two moments.
+// HandleAck processes the holder's answer to a report, by the times at which the report was sent and the answer received. It
+// returns the clock adjustment.
 func (c *Counter) HandleAck(sent, received time.Time, a Ack) (moved time.Duration) {
 	c.mu.Lock()
 	if a.Token == c.holderToken {
@@ -192,7 +193,7 @@
 	c.mu.Unlock()
 	middle := sent.Add(received.Sub(sent) / 2)
 	if a.WallMs == 0 || received.Sub(sent) > maxClockSkew {
-		return 0 // The holder does not know, or the answer was on its way too long.
+		return 0 // The holder does not know, or the round trip took too long.
 	}
 	return c.clock.Correct(time.UnixMilli(a.WallMs).Sub(c.clock.At(middle)))
 }
--- a/internal/usage/ledger.go
+++ b/internal/usage/ledger.go
@@ -9,58 +9,58 @@
 )
 
 const (
-	// keptSent is how many windows are kept to be shown after they were sent.
+	// maxSentWindows is how many windows are kept for display after they were sent.
 	maxSentWindows = 12
 
-	// clocksLeast is how many nodes must have told their time of day before any is put right, and clocksAfter how long
-	// a new holder listens first: those that counted send within a quarter of a second.
+	// minClocks is how many nodes must have reported their clocks before any is corrected, and clockListenTime how long
+	// a new holder listens first: nodes that counted send within a quarter of a second.
 	minClocks       = 3
 	clockListenTime = time.Second
 )
 
 type (
-	// Window is what is known of one window.
+	// Window is the state of one window.
 	Window struct {
 		Number  int64          `json:"-"`
 		Counts  map[string]int `json:"counts"`
-		Settled bool           `json:"settled,omitempty"` // Settled counts never change.
+		Settled bool           `json:"settled,omitempty"` // Settled is set once the counts no longer change.
 		Sent    bool           `json:"-"`
 
-		changed int64 // changed is the state of the ledger at which it changed last.
+		changed int64 // changed is the ledger's revision of the last change.
 	}
 
-	// Ledger gathers the counts of all nodes at the holder. Its methods may be called from many goroutines.
+	// Ledger collects the counts of all nodes at the holder. It is safe for concurrent use.
 	Ledger struct {
-		length   time.Duration // length is that of a window.
-		dueAfter time.Duration // late is how long after its end a window is due.
+		length   time.Duration // length is the length of a window.
+		dueAfter time.Duration // dueAfter is how long after its end a window is due.
 		clock    *Clock
 
 		mu             sync.Mutex
 		since          time.Time // since is when this node became the holder.
-		revision       int64     // state counts the changes.
-		storedRevision int64     // written is the state up to which all is in the store.
-		nextKnown      bool      // begun says that next is set.
+		revision       int64     // revision counts the changes.
+		storedRevision int64     // storedRevision is the revision up to which everything is in the store.
+		nextKnown      bool      // nextKnown is set once next is.
 		next           int64     // next is the first window that is not settled.
 		windows        map[int64]*Window
-		sentWindows    []Window // sent are the windows sent last, the newest last.
+		sentWindows    []Window // sentWindows are the last windows sent, the newest last.
 		nodes          map[string]*node
-		dropped        int64 // dropped counts requests that came after their window was settled.
+		dropped        int64 // dropped counts requests that arrived after their window was settled.
 	}
 
 	// node is what the holder knows of a node that counts.
 	node struct {
-		lastAdded    int64         // taken is the number of the last batch that was added.
-		lastStored   int64         // durable is that of the last one in the store.
-		changed      int64         // changed is the state at which taken changed.
-		countedUntil time.Time     // through is the time of day, by this node's clock, up to which all its counts are known: that at which it was heard.
-		heardAt      time.Time     // heard is when it was heard last.
-		lastCountAt  time.Time     // counted is when it last had counts.
-		replaced     bool          // gone says that a later process of its instance was heard.
-		clockOffset  time.Duration // ahead is by how much its time of day is ahead of this node's.
+		lastAdded    int64         // lastAdded is the number of the last batch added.
+		lastStored   int64         // lastStored is the number of the last batch in the store.
+		changed      int64         // changed is the revision at which lastAdded changed.
+		countedUntil time.Time     // countedUntil is the wall-clock time, by this node's clock, up to which all its counts are known: that of its last report.
+		heardAt      time.Time     // heardAt is when its last report arrived.
+		lastCountAt  time.Time     // lastCountAt is when it last had counts.
+		replaced     bool          // replaced is set once a later process of its instance sent a report.
+		clockOffset  time.Duration // clockOffset is how far its wall clock is ahead of this node's.
 	}
 )
 
-// Requests returns how many requests engines began in the window.
+// Requests returns how many requests engines started in the window.
 func (w *Window) Requests() int {
 	sum := 0
 	for _, n := range w.Counts {
@@ -74,7 +74,7 @@
 	return &Ledger{length: length, dueAfter: dueAfter, clock: clock, windows: map[int64]*Window{}, nodes: map[string]*node{}}
 }
 
-// Take adds a node's batches that were not added before.
+// AddReport adds the batches of a node's report that were not added before.
 func (l *Ledger) AddReport(now time.Time, token int64, r Report) Ack {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -103,14 +103,14 @@
 	return a
 }
 
-// moveClock takes that this node's time of day was moved. The caller holds the lock.
+// adjustOffsets updates the clock offsets after a correction of this node's clock. The caller holds the lock.
 func (l *Ledger) adjustOffsets(by time.Duration) {
 	for _, n := range l.nodes {
 		n.clockOffset -= by
 	}
 }
 
-// add adds counts to windows that are not settled. The caller holds the lock.
+// addCounts adds counts to windows that are not settled. The caller holds the lock.
 func (l *Ledger) addCounts(wall time.Time, c Counts) {
 	for number, teams := range c {
 		l.initNext(min(number, windowNumber(wall, l.length)))
@@ -126,14 +126,14 @@
 	}
 }
 
-// begin sets the first window of all.
+// initNext sets the first unsettled window if it is not known yet.
 func (l *Ledger) initNext(number int64) {
 	if !l.nextKnown {
 		l.nextKnown, l.next = true, number
 	}
 }
 
-// window returns a window, which is empty at first; one that is settled stays out of the list.
+// window returns a window, creating it if needed; a settled one is not added to the map.
 func (l *Ledger) window(number int64) *Window {
 	w := l.windows[number]
 	if w == nil {
@@ -148,9 +148,8 @@
 	return w
 }
 
-// common returns by how much the time of day that most nodes have is ahead of this node's: the median, so that
-// fewer than half of the clocks being wrong does no harm; ok is false until enough have told theirs. The caller holds
-// the lock.
+// medianOffset returns how far the wall clock of most nodes is ahead of this node's. It is the median, so that wrong clocks
+// have no effect as long as they are fewer than half; ok is false until enough nodes have reported. The caller holds the lock.
 func (l *Ledger) medianOffset(now time.Time) (offset time.Duration, ok bool) {
 	var all []time.Duration
 	for _, n := range l.nodes {
@@ -178,7 +177,7 @@
 	return w, ok
 }
 
-// Sent says that a window was reported.
+// MarkSent records that a window was reported.
 func (l *Ledger) MarkSent(number int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -192,7 +191,7 @@
 	l.sentWindows = l.sentWindows[max(0, len(l.sentWindows)-maxSentWindows):]
 }
 
-// Shown returns the newest windows, sent or not, for operators, and how many requests came too late for theirs.
+// RecentWindows returns the newest windows, sent or not, for display, and how many requests arrived too late for theirs.
 func (l *Ledger) RecentWindows() (windows []Window, dropped int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/usage/rows.go
+++ b/internal/usage/rows.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	// forgetNode is how long the number of a node's last batch is remembered. Batches of a node are sent again for
-	// as long as it lives, four times a second.
+	// nodeTTL is how long the number of a node's last batch is remembered. A node resends its batches as
+	// long as it runs, four times a second.
 	nodeTTL = 2 * time.Minute
 
-	// The keys of rows.
+	// Row keys.
 	keyNodes      = "usage"
 	prefixWindows = "usage-"
 )
 
-// nodesRow is the row of what is not of one window.
+// nodesRow is the row of all state that does not belong to a window.
 type nodesRow struct {
 	Next  int64            `json:"next"`
 	Nodes map[string]int64 `json:"nodes"` // Nodes holds the number of each node's last batch that was added.
 }
 
-// Load takes the rows that the holder before left. What this node knew of an earlier term of its own is dropped.
+// Load loads the rows of the previous holder. State of an earlier term of this node is discarded.
 func (l *Ledger) Load(now time.Time, rows []feed.Row) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// load takes one row.
+// load loads one row.
 func (l *Ledger) load(now time.Time, r feed.Row) error {
 	if r.Key == keyNodes {
 		var all nodesRow
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// Pending returns the rows that differ from what is in the store, by their keys alone, and the state that they are of.
+// PendingRows returns the rows that differ from the store, with their keys only, and the revision that they reflect.
 func (l *Ledger) PendingRows(now time.Time) (rows []feed.Row, revision int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -101,7 +101,7 @@
 	return rows, l.revision
 }
 
-// encode returns what is kept as JSON; numbers and texts always can be encoded.
+// encode encodes rows as JSON, which can't fail for numbers and strings.
 func encode(v any) []byte {
 	text, err := json.Marshal(v)
 	if err != nil {
@@ -110,7 +110,7 @@
 	return text
 }
 
-// Written says that all up to a state is in the store.
+// MarkWritten records that everything up to a revision is in the store.
 func (l *Ledger) MarkWritten(revision int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/usage/settle.go
+++ b/internal/usage/settle.go
@@ -6,28 +6,28 @@
 )
 
 const (
-	// quietMost is for how long after a node's last count it goes on telling that there are no more, and waitsFor how long
-	// after that it is waited for when a window ends.
+	// idleReportPeriod is how long after its last count a node continues to send empty reports, and nodeWaitPeriod how long
+	// after its last count the holder waits for its reports when a window ends.
 	idleReportPeriod = 15 * time.Second
 	nodeWaitPeriod   = idleReportPeriod - 3*emptyReportInterval
 
-	// settleLeast is how long after its end a window is settled at the earliest: nodes send four times a second.
+	// minSettleDelay is the least time between a window's end and its settlement: nodes send four times a second.
 	minSettleDelay = 1500 * time.Millisecond
 
-	// settleShare of the time until a window is due is how long nodes that are not heard are waited for, as where they are
-	// cut off. The rest is what a new holder takes: 1.2 s until the one before is missed, 2.3 s to wait its lease out.
+	// nodeWaitShare is the share of the time until a window is due during which silent nodes are waited for, as when they are
+	// partitioned. The rest is for a takeover: 1.2 s until the previous holder is missed, 2.3 s for its lease to expire.
 	nodeWaitShare = 0.65
 
-	// settleMost of that time is up to when a new holder listens before it settles a window: nodes send it again what the
-	// holder before had not written.
+	// listenShare is the share of that time up to which a new holder listens before it settles a window: nodes resend the
+	// counts that the previous holder had not stored.
 	listenShare = 0.9
 
-	// windowsMost is how many windows may be unsettled or unsent; after a longer outage the oldest are given up.
+	// maxOpenWindows is how many windows may be unsettled or unsent; after a longer outage the oldest are discarded.
 	maxOpenWindows = 80
 )
 
-// Settle settles the windows of which all that can be heard was heard, or that can't wait longer, the earliest first. A
-// settled window is to be written before it is sent.
+// Settle settles the windows for which all expected reports arrived or which can't wait longer, the earliest first. A
+// settled window must be stored before it is sent.
 func (l *Ledger) Settle(now time.Time) (settled []Window) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -44,12 +44,12 @@
 	return settled
 }
 
-// end returns when a window ends.
+// windowEnd returns when a window ends.
 func (l *Ledger) windowEnd(number int64) time.Time {
 	return time.UnixMilli((number + 1) * l.length.Milliseconds())
 }
 
-// ended reports whether a window that ends at a time of day can be settled. The caller holds the lock.
+// canSettle reports whether a window that ends at a wall-clock time can be settled. The caller holds the lock.
 func (l *Ledger) canSettle(now, wall, end time.Time) bool {
 	after := wall.Sub(end)
 	listening := now.Sub(l.since) < clockListenTime && after < time.Duration(listenShare*float64(l.dueAfter))
@@ -67,7 +67,7 @@
 	return true
 }
 
-// succeed takes that a process tells of itself: the others of its instance have ended. The caller holds the lock.
+// markReplaced marks the other processes of a process's instance as ended. The caller holds the lock.
 func (l *Ledger) markReplaced(process string) {
 	instance, _, ok := strings.Cut(process, "/")
 	for name, n := range l.nodes {
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -13,16 +13,16 @@
 	dueAfter = 10 * time.Second
 )
 
-// zero is a moment at the beginning of a window, as the process's clock and as the time of day.
+// base is the beginning of a window, both as process time and wall-clock time.
 var base = time.UnixMilli(1_700_000_000_000)
 
-// after returns a moment some milliseconds after zero.
+// after returns the time some milliseconds after base.
 func after(ms int) time.Time { return base.Add(time.Duration(ms) * time.Millisecond) }
 
-// first is the number of the window that begins at zero.
+// firstWindow is the number of the window that begins at base.
 func firstWindow() int64 { return windowNumber(base, window) }
 
-// rig is some nodes, a holder and the store.
+// testCluster is some nodes, a holder and the store.
 type testCluster struct {
 	t      *testing.T
 	nodes  []*Counter
@@ -31,7 +31,7 @@
 	token  int64
 }
 
-// newRig returns nodes whose clocks are ahead of the true time by some durations.
+// newTestCluster returns nodes whose clocks are ahead of the true time by the given durations.
 func newTestCluster(t *testing.T, ahead ...time.Duration) *testCluster {
 	r := &testCluster{t: t, rows: map[string][]byte{}}
 	for i, by := range ahead {
@@ -41,7 +41,7 @@
 	return r
 }
 
-// takeOver makes a node the holder, with what is in the store.
+// takeOver makes a node the holder, with the rows in the store.
 func (r *testCluster) takeOver(now time.Time, node int) {
 	r.t.Helper()
 	r.token++
@@ -55,7 +55,7 @@
 	}
 }
 
-// send sends a node's counts; the answer is lost if lost.
+// send sends a node's counts; lost drops the answer.
 func (r *testCluster) send(now time.Time, node int, lost bool) {
 	report, ok := r.nodes[node].Report(now, r.token)
 	if !ok {
@@ -66,7 +66,7 @@
 	}
 }
 
-// write writes what the holder has to the store.
+// write writes the holder's pending rows to the store.
 func (r *testCluster) write(now time.Time) {
 	rows, state := r.ledger.PendingRows(now)
 	for _, row := range rows {
@@ -79,22 +79,22 @@
 	r.ledger.MarkWritten(state)
 }
 
-// due settles, writes and returns the next window to be sent.
+// due settles and stores windows, and returns the next one to be sent.
 func (r *testCluster) due(now time.Time) (Window, bool) {
 	r.ledger.Settle(now)
 	r.write(now)
 	return r.ledger.Due()
 }
 
-// began lets an engine begin some requests of a team that a node sent.
+// countRequests counts requests of a team at a node.
 func (r *testCluster) countRequests(now time.Time, node int, team string, n int) {
 	for range n {
 		r.nodes[node].Began(now, team)
 	}
 }
 
-// TestACountCountsOnce holds that counts which a holder had are counted once, whether it had written them before it was
-// lost or not and whether its answer came or not, and that none are missing.
+// TestCountsAreAddedOnce checks that counts received by a holder that is lost are added once and not lost, whether or not it
+// had stored them and whether or not its answer arrived.
 func TestCountsAreAddedOnce(t *testing.T) {
 	for _, written := range []bool{false, true} {
 		for _, lost := range []bool{false, true} {
@@ -123,8 +123,8 @@
 	}
 }
 
-// TestASettledWindowIsTheSameForAllHolders holds that what is sent was in the store before, that the next holder sends the same,
-// and that counts which come later change nothing.
+// TestSettledWindowSurvivesATakeover checks that a window is in the store before it is sent, that the next holder sends the
+// same counts, and that later counts change nothing.
 func TestSettledWindowSurvivesATakeover(t *testing.T) {
 	r := newTestCluster(t, 0, 0)
 	r.countRequests(after(100), 1, "a", 4)
@@ -134,12 +134,12 @@
 		t.Fatalf("settled %+v, want one window", settled)
 	}
 	if w, ok := r.ledger.Due(); ok {
-		t.Errorf("%+v may be sent before it is in the store", w)
+		t.Errorf("%+v is due before it is in the store", w)
 	}
 	r.write(after(6650))
 	sent, _ := r.ledger.Due()
 	r.takeOver(after(9000), 1)
-	r.countRequests(after(4900), 1, "a", 2) // A count that comes late.
+	r.countRequests(after(4900), 1, "a", 2) // A late count.
 	r.send(after(9100), 1, false)
 	again, ok := r.due(after(9200))
 	if !ok || again.Number != sent.Number || fmt.Sprint(again.Counts) != fmt.Sprint(sent.Counts) {
@@ -154,18 +154,18 @@
 		t.Error("a window that was sent is still in the store")
 	}
 	if _, dropped := r.ledger.RecentWindows(); dropped != 2 {
-		t.Errorf("%d late counts were noted, want 2", dropped)
+		t.Errorf("%d late counts were recorded, want 2", dropped)
 	}
 }
 
-// TestAWindowWaitsForNodesThatCount holds that a window is settled once all nodes that counted lately have told all, and in time
-// though one stays silent.
+// TestWindowWaitsForActiveNodes checks that a window is settled once all nodes that counted recently have reported up to its
+// end, and in time although a node stays silent.
 func TestWindowWaitsForActiveNodes(t *testing.T) {
 	r := newTestCluster(t, 0, 0)
 	r.countRequests(after(4000), 1, "a", 1)
 	r.send(after(4100), 1, false)
 	if settled := r.ledger.Settle(after(7000)); len(settled) != 0 {
-		t.Errorf("settled %+v before a node has told of its end", settled)
+		t.Errorf("settled %+v before a node has reported up to its end", settled)
 	}
 	r.countRequests(after(4990), 1, "a", 1)
 	r.send(after(7100), 1, false)
@@ -173,14 +173,14 @@
 		t.Errorf("settled %+v, want one window with 2", settled)
 	}
 	if settled := r.ledger.Settle(after(10_000 + 6_499)); len(settled) != 0 {
-		t.Errorf("settled %+v though a node may still tell", settled)
+		t.Errorf("settled %+v although a node may still report", settled)
 	}
 	if settled := r.ledger.Settle(after(10_000 + 6_500)); len(settled) != 1 {
 		t.Errorf("settled %+v, want one that waited long enough", settled)
 	}
 }
 
-// TestAProcessThatEndedIsNotWaitedFor holds that a window does not wait for a process whose successor has told of itself.
+// TestReplacedProcessIsNotWaitedFor checks that a window does not wait for a process whose successor has sent a report.
 func TestReplacedProcessIsNotWaitedFor(t *testing.T) {
 	r := newTestCluster(t, 0, 0)
 	for i, name := range []string{"a/1", "a/2"} {
@@ -195,7 +195,8 @@
 	}
 }
 
-// TestWindowsOfAnOutageFollow holds that after an outage all windows are due, the earliest first, those without counts too.
+// TestWindowsAreReportedAfterAnOutage checks that all windows of an outage are due after it, the earliest first, including
+// those without counts.
 func TestWindowsAreReportedAfterAnOutage(t *testing.T) {
 	r := newTestCluster(t, 0, 0)
 	r.countRequests(after(100), 1, "a", 1)
@@ -213,8 +214,8 @@
 	}
 }
 
-// TestAWrongTimeOfDayIsPutRight holds that a node whose time of day is wrong from its start counts in the right window once the
-// holder has answered it, and that a holder whose own is wrong goes by the others'.
+// TestWrongClockIsCorrected checks that a node with a wrong wall clock counts in the right window once the holder has
+// answered it, and that a holder with a wrong clock is corrected by the others'.
 func TestWrongClockIsCorrected(t *testing.T) {
 	for holder := range 2 {
 		r := newTestCluster(t, 7*time.Second, 0, 0, 0, 0)
@@ -235,13 +236,13 @@
 	}
 }
 
-// TestAStepOfTheTimeOfDayMovesNothing holds that windows go by the steady clock from the process's start on.
+// TestClockFollowsTheMonotonicClock checks that wall-clock time follows the monotonic clock from the process's start on.
 func TestClockFollowsTheMonotonicClock(t *testing.T) {
 	c := NewClock(base, base)
 	if got := c.At(after(1234)); !got.Equal(after(1234)) {
 		t.Errorf("got %v", got)
 	}
 	if moved := c.Correct(maxClockSkew); moved != 0 {
-		t.Errorf("moved by %v for what messages take", moved)
+		t.Errorf("adjusted by %v for an offset that message delays explain", moved)
 	}
 }
