--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -69,7 +69,7 @@
 )
 
 // errStartMissing is returned for an entry without a start time if the engine reported one before.
-var errStartMissing = errors.New("the entry no longer tells of the engine's start")
+var errStartMissing = errors.New("the entry no longer has the engine's start time")
 
 // New returns a Discovery that reports to engines. New work at an engine that left must stop
 // within drain.
@@ -186,7 +186,7 @@
 	for id, at := range d.dropAt {
 		if !now.Before(at) {
 			delete(d.dropAt, id)
-			d.remove(id, "its entry did not come back after the store was away")
+			d.remove(id, "its entry did not come back after the store was unavailable")
 		}
 	}
 }
--- a/internal/discovery/leaving_test.go
+++ b/internal/discovery/leaving_test.go
@@ -13,7 +13,7 @@
 // reports of a peer are accepted.
 func TestLeavingReportedInAnswers(t *testing.T) {
 	gone := feed.Row{Key: "a", Version: 2, Deleted: true}
-	told := func(born int64) []discovery.GossipEntry { return []discovery.GossipEntry{{Engine: "a", Born: born}} }
+	gossip := func(born int64) []discovery.GossipEntry { return []discovery.GossipEntry{{Engine: "a", Born: born}} }
 	for _, test := range []struct {
 		name  string
 		said  func(d *discovery.Discovery)
@@ -38,8 +38,8 @@
 			d.Apply(start, []feed.Row{startEntry("a", 2, false, 2)})
 			d.Leaves(start, "a", 1)
 		}, true},
-		{"gossip", func(d *discovery.Discovery) { d.MergeGossip(start, told(1)) }, false},
-		{"gossip about another incarnation", func(d *discovery.Discovery) { d.MergeGossip(start, told(7)) }, true},
+		{"gossip", func(d *discovery.Discovery) { d.MergeGossip(start, gossip(1)) }, false},
+		{"gossip about another incarnation", func(d *discovery.Discovery) { d.MergeGossip(start, gossip(7)) }, true},
 		{"answer of an unknown engine", func(d *discovery.Discovery) { d.Leaves(start, "b", 1) }, true},
 	} {
 		got := engineStates{}
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -81,7 +81,7 @@
 func TestNewestLimitApplies(t *testing.T) {
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	names := func(l *limit.Limits, ms int, rate float64) { l.Answered(at(ms), at(ms-10), "e", rate, true) }
-	told := func(rate float64, ageMs int64) []limit.GossipEntry {
+	gossip := func(rate float64, ageMs int64) []limit.GossipEntry {
 		return []limit.GossipEntry{{Engine: "e", Rate: rate, AgeMs: ageMs}}
 	}
 	for _, test := range []struct {
@@ -96,15 +96,15 @@
 		{"lowered", func(l *limit.Limits) { names(l, 0, 6); names(l, 100, 0.5) }, 0.5},
 		{"ended by an answer", func(l *limit.Limits) { names(l, 0, 1); l.Answered(at(50), at(20), "e", 0, false) }, 0},
 		{"an answer to an earlier request", func(l *limit.Limits) { names(l, 0, 1); l.Answered(at(50), at(-20), "e", 0, false) }, 1},
-		{"gossip", func(l *limit.Limits) { l.MergeGossip(at(0), told(2, 100)) }, 2},
-		{"older gossip", func(l *limit.Limits) { names(l, 0, 1); l.MergeGossip(at(100), told(2, 200)) }, 1},
-		{"gossip of its end", func(l *limit.Limits) { names(l, 0, 1); l.MergeGossip(at(100), told(0, 50)) }, 0},
+		{"gossip", func(l *limit.Limits) { l.MergeGossip(at(0), gossip(2, 100)) }, 2},
+		{"older gossip", func(l *limit.Limits) { names(l, 0, 1); l.MergeGossip(at(100), gossip(2, 200)) }, 1},
+		{"gossip of its end", func(l *limit.Limits) { names(l, 0, 1); l.MergeGossip(at(100), gossip(0, 50)) }, 0},
 		{"old gossip after its end", func(l *limit.Limits) {
 			names(l, 0, 1)
-			l.MergeGossip(at(100), told(0, 50))
-			l.MergeGossip(at(200), told(1, 200))
+			l.MergeGossip(at(100), gossip(0, 50))
+			l.MergeGossip(at(200), gossip(1, 200))
 		}, 0},
-		{"invalid gossip", func(l *limit.Limits) { l.MergeGossip(at(0), told(-1, 0)); l.MergeGossip(at(0), told(1, -5)) }, 0},
+		{"invalid gossip", func(l *limit.Limits) { l.MergeGossip(at(0), gossip(-1, 0)); l.MergeGossip(at(0), gossip(1, -5)) }, 0},
 		{"engine restarted", func(l *limit.Limits) { names(l, 0, 1); l.Forget("e") }, 0},
 		{"expired", func(l *limit.Limits) { names(l, -301_000, 1); l.GossipEntries(at(200), time.Second) }, 0},
 	} {
@@ -136,8 +136,8 @@
 		if list[0].Engine != "new" || len(list) > most {
 			t.Fatalf("%d engines in the message, the first is %s", len(list), list[0].Engine)
 		}
-		for _, told := range list {
-			seen[told.Engine] = true
+		for _, entry := range list {
+			seen[entry.Engine] = true
 		}
 	}
 	if len(seen) != engines+1 {
--- a/internal/limit/limits.go
+++ b/internal/limit/limits.go
@@ -14,7 +14,7 @@
 
 const (
 	// minRate is the lowest rate that is enforced, in requests per second. An engine with a lower limit, or a limit of zero, still
-	// gets a request now and then, since only its answers tell when the limit ends.
+	// gets a request now and then, since only its answers show when the limit ends.
 	minRate = 0.2
 
 	// maxRate is the highest rate that is enforced, in requests per second; a higher limit is treated as none.
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -205,8 +205,8 @@
 	for ms := 400; ms < 20_000; ms += 100 {
 		exchange(ms)
 	}
-	if told := all[0].GossipEntries(at(20_000), 400*time.Millisecond); len(told) != 1 || told[0].Age < 19*time.Second {
-		t.Errorf("a record known to all nodes is gossiped as new: %+v", told)
+	if entries := all[0].GossipEntries(at(20_000), 400*time.Millisecond); len(entries) != 1 || entries[0].Age < 19*time.Second {
+		t.Errorf("a record known to all nodes is gossiped as new: %+v", entries)
 	}
 	all[3].RecordAnswer(at(20_100), fingerprint, subject.Team)
 	exchange(20_110)
