--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -19,9 +19,9 @@
 // what is due, without changes to or loss of what was in the store.
 func TestNextHolderContinues(t *testing.T) {
 	for how, f := range map[string]func(r *testCluster, name string){
-		"killed":      func(r *testCluster, name string) { r.kill[name]() },
+		"killed":            func(r *testCluster, name string) { r.kill[name]() },
 		"store unavailable": func(r *testCluster, name string) { r.platform.mark(r.platform.storeDown, name) },
-		"stops":       func(r *testCluster, name string) { r.nodes[name].Stop() },
+		"stops":             func(r *testCluster, name string) { r.nodes[name].Stop() },
 	} {
 		t.Run(how, func(t *testing.T) {
 			t.Parallel()
