--- a/internal/duty/shown.go
+++ b/internal/duty/shown.go
@@ -7,22 +7,22 @@
 	"github.com/croftturn/croftturn/internal/usage"
 )
 
-// Shown is what operators are shown. Windows and orders are known at the holder alone.
-type Shown struct {
-	Holder  Holder
-	Before  []string // Before are the holders before, the newest last, as this node last read them.
-	Windows []usage.Window
-	Orders  []scaling.Order
-	Need    map[string]int // Need is, by pool, how many engines the load needs.
+// Status is the state shown to operators. Only the holder knows the windows and orders.
+type Status struct {
+	Holder          Holder
+	PreviousHolders []string // PreviousHolders are the former holders, the newest last, as last read by this node.
+	Windows         []usage.Window
+	Orders          []scaling.Order
+	Need            map[string]int // Need is, by pool, how many engines the load requires.
 }
 
-// Shown returns what operators are shown.
-func (d *Duties) Shown(now time.Time) Shown {
-	out := Shown{Holder: d.Holder(now), Need: map[string]int{}}
-	out.Windows, _ = d.ledger.Shown()
+// Status returns the state shown to operators.
+func (d *Duties) Status(now time.Time) Status {
+	out := Status{Holder: d.Holder(now), Need: map[string]int{}}
+	out.Windows, _ = d.ledger.RecentWindows()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	out.Before = d.lease.Record().Recent
+	out.PreviousHolders = d.lease.Record().Recent
 	for pool, s := range d.scalers {
 		out.Orders = append(out.Orders, s.All()...)
 		out.Need[pool] = s.Need(now)
--- a/internal/edge/absence.go
+++ b/internal/edge/absence.go
@@ -21,7 +21,7 @@
 	if away < minAbsence {
 		return
 	}
-	e.proof.Forget(now)
+	e.proof.Invalidate(now)
 	e.dispatcher.Returned(now)
 	e.egress.ForgetAll()
 	e.absences.Add(1)
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -193,7 +193,7 @@
 	e.store = platform.NewStore(s.PlatformAddresses, platform.StoreTimeout)
 	e.register = register.New(now, e.store, self, slices.Collect(maps.Keys(s.HallRegions)), s.FirstStart, e.gossip, e.log)
 	e.configTable = feed.NewTable(platform.TableConfig, e.applyConfig)
-	e.engineTable = feed.NewTable(platform.TableEngines, e.discovery.Take)
+	e.engineTable = feed.NewTable(platform.TableEngines, e.discovery.Apply)
 	e.follower = feed.NewFollower(s.PeerAddress, e.peerClient, e.log, e.configTable, e.engineTable)
 	e.peerServer = peer.NewServer(listener, e.traffic, e.log)
 	e.peerServer.Handle(feed.MethodTable, peer.Typed(e.follower.Answer))
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -52,7 +52,7 @@
 	versions := e.follower.Versions() // Read before the loads, which may be of later entries but not of earlier ones.
 	s := gossip.State{
 		Ready: e.Ready(now), Stopping: e.dispatcher.Ready(now) == dispatch.Stopping, Rate: float32(e.dispatcher.Rate(now)), Loads: e.placement.Loads(), Uses: e.placement.TakeUses(), Versions: versions,
-		ConfigVersion: e.dispatcher.Version(), ProofAgeMs: -1, CannotReadStore: e.readFailing(now), StoreSilentMs: -1, StoreFailureAgeMs: -1, Places: e.dispatcher.Places(now), Holder: e.announcedHolder(now), Crashing: e.quarantine.GossipEntries(now, gossip.UpdateLifetime), Limits: e.limits.GossipEntries(now, gossip.UpdateLifetime), Leaving: e.discovery.TellLeaving(now, gossip.UpdateLifetime),
+		ConfigVersion: e.dispatcher.Version(), ProofAgeMs: -1, CannotReadStore: e.readFailing(now), StoreSilentMs: -1, StoreFailureAgeMs: -1, Places: e.dispatcher.Places(now), Holder: e.announcedHolder(now), Crashing: e.quarantine.GossipEntries(now, gossip.UpdateLifetime), Limits: e.limits.GossipEntries(now, gossip.UpdateLifetime), Leaving: e.discovery.GossipEntries(now, gossip.UpdateLifetime),
 	}
 	if age, ok := e.proof.Age(now); ok {
 		s.ProofAgeMs = age.Milliseconds() + 1 // Rounded up, since a proof must not get younger on its way.
@@ -74,14 +74,14 @@
 	e.dispatcher.HeardPlaces(now, p.Name, s.Places)
 	e.quarantine.MergeGossip(now, s.Crashing)
 	e.limits.MergeGossip(now, s.Limits)
-	e.discovery.HearLeaving(now, s.Leaving)
+	e.discovery.MergeGossip(now, s.Leaving)
 	e.receiveHolder(now, s.Holder)
 	e.follower.Heard(p.PeerAddress, s.Versions)
 	if s.ProofAgeMs >= 0 && !received.IsZero() && s.ConfigVersion > 0 && s.ConfigVersion <= e.dispatcher.Version() {
 		e.proof.Renew(received.Add(-time.Duration(s.ProofAgeMs) * time.Millisecond))
 	}
 	if s.StoreFailureAgeMs >= 0 {
-		e.discovery.Lost(now.Add(-time.Duration(s.StoreFailureAgeMs) * time.Millisecond))
+		e.discovery.StoreUnavailable(now.Add(-time.Duration(s.StoreFailureAgeMs) * time.Millisecond))
 	}
 }
 
--- a/internal/edge/reading.go
+++ b/internal/edge/reading.go
@@ -250,7 +250,7 @@
 // storeFailed records a failed call to the store.
 func (e *Edge) storeFailed(now time.Time) {
 	e.storeFailedAt.Store(&now)
-	e.discovery.Lost(now)
+	e.discovery.StoreUnavailable(now)
 }
 
 // configProven records an answer of the store that proves that the configuration in force was the
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -46,7 +46,7 @@
 		Nodes             NodeCount                    `cbor:"15,keyasint,omitzero"`  // Nodes is the number of nodes that a hub knows.
 		ChosenHubs        []HubInfo                    `cbor:"16,keyasint,omitempty"` // ChosenHubs are the hubs that a hub chose for its hall, for receivers that may not know them.
 		Limits            []limit.GossipEntry          `cbor:"17,keyasint,omitempty"` // Limits are the limits of engines, including limits that ended recently.
-		Leaving           []discovery.Told             `cbor:"18,keyasint,omitempty"` // Leaving are engines that announced in an answer that they leave.
+		Leaving           []discovery.GossipEntry      `cbor:"18,keyasint,omitempty"` // Leaving are engines that announced in an answer that they leave.
 	}
 
 	// HubInfo identifies a hub in the sender's hall and says how to reach it.
--- a/internal/gossip/send.go
+++ b/internal/gossip/send.go
@@ -65,7 +65,7 @@
 			s := g.stateFor(state, round, to.rounds)
 			s.Crashing = selectEntries(kind, state.Crashing, func(t quarantine.GossipEntry) time.Duration { return t.Age })
 			s.Limits = selectEntries(kind, state.Limits, func(t limit.GossipEntry) time.Duration { return t.Age })
-			s.Leaving = selectEntries(kind, state.Leaving, func(t discovery.Told) time.Duration { return t.Age })
+			s.Leaving = selectEntries(kind, state.Leaving, func(t discovery.GossipEntry) time.Duration { return t.Age })
 			if kind.withHubs {
 				s.ChosenHubs = g.chosenHubInfo()
 			}
