--- a/internal/dispatch/absence.go
+++ b/internal/dispatch/absence.go
@@ -34,9 +34,9 @@
 	}
 }
 
-// Returned says that this process was away until now. Requests at work end at their deadlines by a clock that counts the
+// Resumed says that this process was away until now. Requests at work end at their deadlines by a clock that counts the
 // absence, those that are not sent yet are decided on again, and new ones wait as after a start until the node can serve.
-func (d *Dispatcher) Returned(now time.Time) {
+func (d *Dispatcher) Resumed(now time.Time) {
 	d.started.Store(false)
 	d.present.returns.Add(1)
 	d.present.mu.Lock()
--- a/internal/dispatch/absence_test.go
+++ b/internal/dispatch/absence_test.go
@@ -22,7 +22,7 @@
 		began, done := time.Now(), make(chan *answer)
 		go func() { done <- serve(t, d, route) }()
 		e.awaitSent(t, 1)
-		d.Returned(time.Now().Add(timeout + time.Second))
+		d.Resumed(time.Now().Add(timeout + time.Second))
 		a := <-done
 		if took := time.Since(began); a.refusal == nil || !a.refusal.Reason.MayHaveRun() || took > timeout/2 {
 			t.Errorf("%s: %+v after %v", route, a.refusal, took)
@@ -41,7 +41,7 @@
 	serve(t, d, "safe")
 	now := time.Now()
 	proof.Forget(now)
-	d.Returned(now)
+	d.Resumed(now)
 	r := &dispatch.Request{ID: "id", Host: "h", Path: "/safe/x", Key: "k", Patience: timeout}
 	if _, _, refusal := d.Check(now, r); refusal == nil || refusal.Reason != dispatch.Stale {
 		t.Errorf("got %+v before the proof, want %s", refusal, dispatch.Stale)
@@ -67,7 +67,7 @@
 	time.AfterFunc(placeTarget/8, func() { // The second waits for the place meanwhile.
 		now := time.Now()
 		proof.Forget(now)
-		d.Returned(now)
+		d.Resumed(now)
 		close(release)
 	})
 	if a := serve(t, d, "high"); a.refusal == nil || a.refusal.Reason != dispatch.Stale {
--- a/internal/dispatch/crashes.go
+++ b/internal/dispatch/crashes.go
@@ -60,7 +60,7 @@
 
 // fingerprintOf returns what tells a request of a team from another.
 func fingerprintOf(r *Request, team string) quarantine.Fingerprint {
-	return quarantine.FingerprintOf(quarantine.Work{Team: team, Method: r.Method, Host: r.Host, Target: r.Target, Model: r.Asked, Body: r.Body})
+	return quarantine.FingerprintOf(quarantine.Work{Team: team, Method: r.Method, Host: r.Host, Target: r.Target, Model: r.RequestedModel, Body: r.Body})
 }
 
 // engineEnded finds out, where an engine broke off, whether it has ended while the request was at
@@ -69,7 +69,7 @@
 func (w *walk) engineEnded(ctx context.Context, now time.Time, cause error) bool {
 	d, engine := w.d, w.choice.Engine
 	restarted := errors.Is(context.Cause(ctx), errRestarted)
-	broke := ctx.Err() == nil && !errors.Is(cause, ErrForeign)
+	broke := ctx.Err() == nil && !errors.Is(cause, ErrMismatchedResponse)
 	if d.endings.prober == nil || !restarted && !broke || d.placement.Leaving(engine.ID) {
 		return false
 	}
--- a/internal/dispatch/crashes_test.go
+++ b/internal/dispatch/crashes_test.go
@@ -39,16 +39,16 @@
 		sent   int
 		reason dispatch.Reason
 	}{
-		"unsafe":    {{1, dispatch.Broken}, {2, dispatch.Broken}, {3, dispatch.Broken}, {3, dispatch.CrashesEngines}},
-		"stream":    {{1, dispatch.Broken}, {2, dispatch.Broken}, {3, dispatch.Broken}, {3, dispatch.CrashesEngines}},
-		"safe":      {{2, dispatch.Broken}, {3, dispatch.Broken}, {3, dispatch.CrashesEngines}},
-		"resumable": {{2, dispatch.Broken}, {3, dispatch.Broken}, {3, dispatch.CrashesEngines}},
+		"unsafe":    {{1, dispatch.EngineFailed}, {2, dispatch.EngineFailed}, {3, dispatch.EngineFailed}, {3, dispatch.CrashesEngines}},
+		"stream":    {{1, dispatch.EngineFailed}, {2, dispatch.EngineFailed}, {3, dispatch.EngineFailed}, {3, dispatch.CrashesEngines}},
+		"safe":      {{2, dispatch.EngineFailed}, {3, dispatch.EngineFailed}, {3, dispatch.CrashesEngines}},
+		"resumable": {{2, dispatch.EngineFailed}, {3, dispatch.EngineFailed}, {3, dispatch.CrashesEngines}},
 	} {
 		e := &engines{serve: func(context.Context, int, dispatch.Attempt) (*dispatch.Response, error) { return nil, errCut }}
 		d, q, _ := newQuarantined(e)
 		for i, w := range want {
 			a := serve(t, d, route)
-			if a.refusal == nil || a.refusal.Reason != w.reason || a.refusal.ComeBack != 0 || e.sentSoFar() != w.sent {
+			if a.refusal == nil || a.refusal.Reason != w.reason || a.refusal.RetryAfter != 0 || e.sentSoFar() != w.sent {
 				t.Errorf("%s, time %d: %+v after %d sendings, want %s after %d", route, i, a.refusal, e.sentSoFar(), w.reason, w.sent)
 			}
 		}
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -62,7 +62,7 @@
 		endings    endings
 		present    present
 		quarantine *quarantine.Quarantine // quarantine is nil where nothing is remembered of requests.
-		leavers    Leavers                // leavers is nil where engines don't say that they leave.
+		leavers    LeaveObserver          // leavers is nil where engines don't say that they leave.
 		permits    Permits                // permits is nil where engines name no limits.
 		sender     Sender
 		observer   Observer
@@ -123,11 +123,11 @@
 func (d *Dispatcher) Check(now time.Time, r *Request) (*routing.Route, *routing.Team, *Refusal) {
 	t := d.table.Load()
 	if t == nil {
-		return nil, nil, &Refusal{Reason: NotReady, ComeBack: shortReturn}
+		return nil, nil, &Refusal{Reason: NotReady, RetryAfter: shortReturn}
 	}
 	route := t.Route(r.Host, r.Path)
 	if !d.proof.Fresh(now) && (route == nil || !route.Public) {
-		return nil, nil, &Refusal{Reason: Stale, ComeBack: shortReturn}
+		return nil, nil, &Refusal{Reason: Stale, RetryAfter: shortReturn}
 	}
 	if route == nil {
 		return nil, nil, &Refusal{Reason: NoRoute}
@@ -141,7 +141,7 @@
 	if stop := d.stopBy.Load(); stop != nil {
 		left := stop.Sub(now)
 		if left < lastStop || route.Kind == routing.Stream && left < streamStop {
-			return nil, nil, &Refusal{Reason: Stopping, ComeBack: shortReturn}
+			return nil, nil, &Refusal{Reason: Stopping, RetryAfter: shortReturn}
 		}
 	}
 	return route, team, nil
@@ -156,7 +156,7 @@
 }
 
 // Serve serves one request whose head was checked and whose body is read.
-func (d *Dispatcher) Serve(ctx context.Context, arrived time.Time, r *Request, route *routing.Route, team *routing.Team, a Answer) {
+func (d *Dispatcher) Serve(ctx context.Context, arrived time.Time, r *Request, route *routing.Route, team *routing.Team, a AnswerWriter) {
 	d.active.Add(1)
 	d.rate.note(arrived)
 	defer d.active.Add(-1)
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -48,8 +48,8 @@
 	for name, want := range map[string]int{"safe": 2, "unsafe": 1, "stream": 1} {
 		e := &engines{serve: func(context.Context, int, dispatch.Attempt) (*dispatch.Response, error) { return nil, errCut }}
 		a := serve(t, newDispatcher(e, 5), name)
-		if len(e.sent) != want || a.refusal == nil || a.refusal.Reason != dispatch.Broken {
-			t.Errorf("%s: %d sendings, refusal %+v; want %d and %s", name, len(e.sent), a.refusal, want, dispatch.Broken)
+		if len(e.sent) != want || a.refusal == nil || a.refusal.Reason != dispatch.EngineFailed {
+			t.Errorf("%s: %d sendings, refusal %+v; want %d and %s", name, len(e.sent), a.refusal, want, dispatch.EngineFailed)
 		}
 	}
 }
@@ -73,7 +73,7 @@
 		t.Errorf("got %+v after %v", a, e.sent)
 	}
 	e = &engines{serve: func(_ context.Context, n int, _ dispatch.Attempt) (*dispatch.Response, error) { return away(n) }}
-	if a := serve(t, newDispatcher(e, 5), "unsafe"); a.refusal == nil || a.refusal.Reason != dispatch.Full || a.refusal.ComeBack <= 0 {
+	if a := serve(t, newDispatcher(e, 5), "unsafe"); a.refusal == nil || a.refusal.Reason != dispatch.EnginesFull || a.refusal.RetryAfter <= 0 {
 		t.Errorf("got %+v, want a refusal with a time to come back", a.refusal)
 	}
 }
@@ -107,7 +107,7 @@
 		d.SetTable(table(2, "another"))
 		return nil, errCut
 	}
-	if a := serve(t, d, "safe"); len(e.sent) != 1 || a.refusal == nil || a.refusal.Reason != dispatch.Broken {
+	if a := serve(t, d, "safe"); len(e.sent) != 1 || a.refusal == nil || a.refusal.Reason != dispatch.EngineFailed {
 		t.Errorf("%d sendings, refusal %+v", len(e.sent), a.refusal)
 	}
 }
@@ -257,7 +257,7 @@
 		withSigns bool
 	}{
 		{"safe", http.StatusOK, "", 2, false},
-		{"unsafe", 0, dispatch.Broken, 1, false},
+		{"unsafe", 0, dispatch.EngineFailed, 1, false},
 		{"unsafe", http.StatusOK, "", 1, true},
 	} {
 		p := placement.New("hall")
--- a/internal/dispatch/ended_test.go
+++ b/internal/dispatch/ended_test.go
@@ -75,7 +75,7 @@
 	failure := func(ctx context.Context) (*dispatch.Response, error) {
 		return respond(http.StatusInternalServerError, ""), nil
 	}
-	foreign := func(ctx context.Context) (*dispatch.Response, error) { return nil, dispatch.ErrForeign }
+	foreign := func(ctx context.Context) (*dispatch.Response, error) { return nil, dispatch.ErrMismatchedResponse }
 	for name, c := range map[string]struct {
 		serve    func(ctx context.Context) (*dispatch.Response, error)
 		ended    bool
--- a/internal/dispatch/line.go
+++ b/internal/dispatch/line.go
@@ -193,7 +193,7 @@
 	w.highest, w.giveWay = l.standing(now, w.route.Tier, w.choice)
 	if rand.Float64() < w.giveWay {
 		l.count(now, w.route.Tier, false, false) // Tiers below it give way to it as well.
-		return &Refusal{Reason: Busy, ComeBack: w.comeBack()}
+		return &Refusal{Reason: Busy, RetryAfter: w.comeBack()}
 	}
 	limit := l.limit(w.tier(), w.route.Target)
 	placed := w.mayBegin(w.choice) && l.empty(w.tier()) || w.wait(ctx, now, l, limit, request)
@@ -203,12 +203,12 @@
 	}
 	if !placed {
 		l.count(now, w.route.Tier, false, false)
-		return &Refusal{Reason: Busy, ComeBack: w.comeBack()}
+		return &Refusal{Reason: Busy, RetryAfter: w.comeBack()}
 	}
 	comeBack, admitted := w.admit(now, w.choice)
 	l.count(now, w.route.Tier, admitted, w.held <= limit)
 	if !admitted {
-		return &Refusal{Reason: Busy, ComeBack: comeBack}
+		return &Refusal{Reason: Busy, RetryAfter: comeBack}
 	}
 	return nil
 }
--- a/internal/dispatch/line_test.go
+++ b/internal/dispatch/line_test.go
@@ -89,7 +89,7 @@
 	}
 	d := &Dispatcher{}
 	d.lines.pools = map[string]*line{"p": l}
-	d.HeardPlaces(begin, "peer", map[string][]Places{"p": {{Asked: 20, Lacked: 10}}})
+	d.SetPeerTierStats(begin, "peer", map[string][]TierStats{"p": {{Requests: 20, NoSlot: 10}}})
 	if giveWay(l, begin, 1) < 1 {
 		t.Error("not short with ten more refused at a peer")
 	}
@@ -100,7 +100,7 @@
 	for range 20 {
 		l.count(later, 0, false, true)
 	}
-	if got := d.Places(later.Add(time.Second)); len(got["p"]) != 1 || got["p"][0].Lacked != 24 {
+	if got := d.TierStats(later.Add(time.Second)); len(got["p"]) != 1 || got["p"][0].NoSlot != 24 {
 		t.Errorf("peers are told %v", got)
 	}
 	if giveWay(l, later.Add(4*time.Second), 1) < 1 {
--- a/internal/dispatch/permit.go
+++ b/internal/dispatch/permit.go
@@ -93,7 +93,7 @@
 // withoutPermit returns the refusal of a request for which no permit gets free before a time has passed.
 func (w *walk) withoutPermit(left time.Duration) *Refusal {
 	w.opens = left
-	return &Refusal{Reason: w.orMayHaveRun(Busy), ComeBack: w.comeBackAfter(left)}
+	return &Refusal{Reason: w.orMayHaveRun(Busy), RetryAfter: w.comeBackAfter(left)}
 }
 
 // mayStillSend checks a request again that has waited.
--- a/internal/dispatch/place_test.go
+++ b/internal/dispatch/place_test.go
@@ -58,7 +58,7 @@
 	d := newPlaces(e, 1)
 	wg := occupy(t, d, e, "high")
 	refused := serve(t, d, "high")
-	if refused.refusal == nil || refused.refusal.Reason != dispatch.Busy || refused.refusal.ComeBack <= 0 {
+	if refused.refusal == nil || refused.refusal.Reason != dispatch.Busy || refused.refusal.RetryAfter <= 0 {
 		t.Errorf("without a place: %+v", refused.refusal)
 	}
 	if sent := e.sentSoFar(); sent != 1 {
@@ -87,9 +87,9 @@
 	if got := serveUntil(ctx, t, d, "high"); got.refusal == nil || got.refusal.Reason != dispatch.CallerLeft {
 		t.Errorf("a caller that left while it waited got %+v", got.refusal)
 	}
-	for _, p := range d.Places(time.Now())["p"] {
-		if p.Lacked != 0 {
-			t.Errorf("%d requests count as without a place, though a caller left", p.Lacked)
+	for _, p := range d.TierStats(time.Now())["p"] {
+		if p.NoSlot != 0 {
+			t.Errorf("%d requests count as without a place, though a caller left", p.NoSlot)
 		}
 	}
 	close(release)
@@ -144,7 +144,7 @@
 	if got := serve(t, d, "low"); got.status != 200 {
 		t.Errorf("with places free the lower tier gets %+v", got.refusal)
 	}
-	d.HeardPlaces(time.Now(), "peer", map[string][]dispatch.Places{"p": {{Asked: 20, Lacked: 8}}})
+	d.SetPeerTierStats(time.Now(), "peer", map[string][]dispatch.TierStats{"p": {{Requests: 20, NoSlot: 8}}})
 	if got := serve(t, d, "low"); got.refusal == nil || got.refusal.Reason != dispatch.Busy {
 		t.Errorf("while the highest is refused the lower tier gets status %d", got.status)
 	}
@@ -170,7 +170,7 @@
 	teams := []*routing.Team{{Name: "t", Keys: []string{"k"}}}
 	table := routing.NewTable(1, routes, []*routing.Pool{{Name: "p"}}, teams, routing.Limits{})
 	d := dispatcherOf(e, 0, table, 8, "e1")
-	d.HeardPlaces(time.Now(), "peer", map[string][]dispatch.Places{"p": {{Asked: 20, Lacked: 8}}})
+	d.SetPeerTierStats(time.Now(), "peer", map[string][]dispatch.TierStats{"p": {{Requests: 20, NoSlot: 8}}})
 	for range 20 {
 		if got := serve(t, d, "middle"); got.refusal == nil {
 			t.Fatalf("while the highest is refused the middle tier gets status %d", got.status)
--- a/internal/dispatch/reading.go
+++ b/internal/dispatch/reading.go
@@ -30,12 +30,12 @@
 
 // beyondReading returns the share of a tier's requests of which a pool's engines can't read the prompts besides those of
 // the tiers above it.
-func beyondReading(all [lineTiers]Places, tier, engines int) float64 {
+func beyondReading(all [lineTiers]TierStats, tier, engines int) float64 {
 	left := engines * int(readingSpan/time.Microsecond)
 	for _, higher := range all[:tier] {
-		left -= higher.Reading
+		left -= higher.PrefillMicros
 	}
-	own := all[tier].Reading
+	own := all[tier].PrefillMicros
 	switch {
 	case own <= left:
 		return 0
@@ -48,6 +48,6 @@
 }
 
 // anyReading reports whether one of some tiers has prompts to be read.
-func anyReading(tiers []Places) bool {
-	return slices.ContainsFunc(tiers, func(p Places) bool { return p.Reading > 0 })
+func anyReading(tiers []TierStats) bool {
+	return slices.ContainsFunc(tiers, func(p TierStats) bool { return p.PrefillMicros > 0 })
 }
--- a/internal/dispatch/refusal.go
+++ b/internal/dispatch/refusal.go
@@ -36,11 +36,11 @@
 	// Busy says that the request can't be served on time now.
 	Busy Reason = "busy"
 
-	// Full says that the engines turned the request away without running it.
-	Full Reason = "engines_full"
+	// EnginesFull says that the engines turned the request away without running it.
+	EnginesFull Reason = "engines_full"
 
-	// Broken says that an engine failed after the request was sent.
-	Broken Reason = "engine_failed"
+	// EngineFailed says that an engine failed after the request was sent.
+	EngineFailed Reason = "engine_failed"
 
 	// TimedOut says that no answer came in time; the request may have run.
 	TimedOut Reason = "timed_out"
@@ -59,8 +59,8 @@
 
 	// Refusal is a request's final answer where no engine gave one.
 	Refusal struct {
-		Reason   Reason
-		ComeBack time.Duration // ComeBack is when the caller should ask again; 0 if it should not, or at once.
+		Reason     Reason
+		RetryAfter time.Duration // RetryAfter is when the caller should ask again; 0 if it should not, or at once.
 	}
 )
 
@@ -77,9 +77,9 @@
 	Stopping:       http.StatusServiceUnavailable,
 	NoEngine:       http.StatusServiceUnavailable,
 	Busy:           http.StatusServiceUnavailable,
-	Full:           http.StatusServiceUnavailable,
+	EnginesFull:    http.StatusServiceUnavailable,
 	CrashesEngines: http.StatusBadRequest,
-	Broken:         http.StatusBadGateway,
+	EngineFailed:   http.StatusBadGateway,
 	TimedOut:       http.StatusGatewayTimeout,
 }
 
--- a/internal/dispatch/relay.go
+++ b/internal/dispatch/relay.go
@@ -52,7 +52,7 @@
 	success := resp.Status < http.StatusMultipleChoices
 	if w.begun && !success {
 		w.call.End(now, placement.Failed)
-		w.refuse(Refusal{Reason: Broken}) // The caller has the head of another engine's answer.
+		w.refuse(Refusal{Reason: EngineFailed}) // The caller has the head of another engine's answer.
 		return false
 	}
 	if w.first == 0 {
@@ -78,14 +78,14 @@
 	if !resp.NotRun && w.heard.IsZero() {
 		w.heard = now
 	}
-	if resp.Loaded {
+	if resp.HasLoad {
 		w.call.Report(now, resp.Running, resp.Waiting)
 	}
 }
 
 // turned decides what follows where an engine did not run the request.
 func (w *walk) turned(now time.Time, cause error) (again bool) {
-	w.refused = Refusal{Reason: w.orMayHaveRun(Full), ComeBack: fullReturn}
+	w.refused = Refusal{Reason: w.orMayHaveRun(EnginesFull), RetryAfter: fullReturn}
 	next, ok := w.place(now, w.placementRequest())
 	if ok && w.sent < w.route.MaxEngines && now.Before(w.deadline) && w.useRetry(now, cause) {
 		return true
@@ -247,6 +247,6 @@
 		return true
 	}
 	w.d.log.Warn("answer broke off", "request", w.req.ID, "engine", w.choice.Engine.ID, "error", err.Error(), "begun", w.begun)
-	w.refuse(Refusal{Reason: w.lateOr(now, Broken)})
+	w.refuse(Refusal{Reason: w.lateOr(now, EngineFailed)})
 	return false
 }
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -14,8 +14,8 @@
 	// ErrNotSent says that no byte of a request left: it has not run.
 	ErrNotSent = errors.New("dispatch: request not sent")
 
-	// ErrForeign says that an engine's answer belongs to another request.
-	ErrForeign = errors.New("dispatch: answer of another request")
+	// ErrMismatchedResponse says that an engine's answer belongs to another request.
+	ErrMismatchedResponse = errors.New("dispatch: answer of another request")
 )
 
 type (
@@ -26,7 +26,7 @@
 		Path           string
 		Key            string
 		Model          string // Model is what an engine is asked for; empty where Header says it in the engines' own way.
-		Asked          string // Asked is the model that the caller names, in whichever way; empty where only the body does.
+		RequestedModel string // RequestedModel is the model that the caller names, in whichever way; empty where only the body does.
 		Prompt         placement.Prompt
 		OutputTokens   int           // OutputTokens is the most that the answer may have; 0 if unknown.
 		ExpectedTokens int           // ExpectedTokens is the caller's guess of how many the answer has, right in the median; 0 if it has none.
@@ -43,7 +43,7 @@
 		Engine      placement.Engine
 		Team        string
 		Urgency     int           // Urgency is the request's place in the order of all, 0 first.
-		Left        time.Duration // Left of the caller's time.
+		TimeLeft    time.Duration // TimeLeft is what is left of the time that the caller waits.
 		LastEventID string        // LastEventID is the event after which the engine goes on; empty for a whole answer.
 	}
 
@@ -55,7 +55,7 @@
 		Replaced bool          // Replaced says that another engine has the address now.
 		Running  int           // Running is how many requests the engine had at work.
 		Waiting  int           // Waiting is how many more waited there.
-		Loaded   bool          // Loaded says that Running and Waiting were told.
+		HasLoad  bool          // HasLoad says whether Running and Waiting are known.
 		Rest     time.Duration // Rest is for how long the engine wants nothing of this node; 0 if it did not say.
 		Leaving  bool          // Leaving says that the engine leaves.
 		Limited  bool          // Limited says that the engine named a limit.
@@ -70,9 +70,9 @@
 		Send(ctx context.Context, r *Request, a Attempt) (*Response, error)
 	}
 
-	// Answer takes the answer to a caller. Exactly one of Refuse and Begin is
+	// AnswerWriter takes the answer to a caller. Exactly one of Refuse and Begin is
 	// called first; after Begin come writes, and Abort if the answer is not whole.
-	Answer interface {
+	AnswerWriter interface {
 		Refuse(r Refusal)
 		Begin(r *Response)
 		Write(p []byte) error
--- a/internal/dispatch/said.go
+++ b/internal/dispatch/said.go
@@ -5,14 +5,14 @@
 // noLimit stands in the log for an answer that named no limit.
 const noLimit = -1
 
-// Leavers takes which engines leave.
-type Leavers interface {
+// LeaveObserver takes which engines leave.
+type LeaveObserver interface {
 	// Leaves takes that an incarnation of an engine said in an answer that it leaves.
 	Leaves(now time.Time, engine string, born int64)
 }
 
-// WithLeavers has a dispatcher tell which engines say that they leave.
-func WithLeavers(l Leavers) Option {
+// WithLeaveObserver has a dispatcher tell which engines say that they leave.
+func WithLeaveObserver(l LeaveObserver) Option {
 	return func(d *Dispatcher) { d.leavers = l }
 }
 
--- a/internal/dispatch/tiers.go
+++ b/internal/dispatch/tiers.go
@@ -42,29 +42,29 @@
 )
 
 type (
-	// Places tells how the requests of a tier fared lately in a pool. Peers of other releases may know fewer fields, or more.
-	Places struct {
-		Tier   int `cbor:"1,keyasint,omitempty"` // Tier is that of their routes.
-		Asked  int `cbor:"2,keyasint,omitempty"`
-		Lacked int `cbor:"3,keyasint,omitempty"` // Lacked is how many of them got no place.
-		Late   int `cbor:"4,keyasint,omitempty"` // Late is how many got one too late.
-
-		// Reading is how long engines take to read the prompts that came in the newest readingSpan, refused ones among them, in
+	// TierStats tells how the requests of a tier fared lately in a pool. Peers of other releases may know fewer fields, or more.
+	TierStats struct {
+		Tier     int `cbor:"1,keyasint,omitempty"` // Tier is that of their routes.
+		Requests int `cbor:"2,keyasint,omitempty"`
+		NoSlot   int `cbor:"3,keyasint,omitempty"` // NoSlot counts those that got no slot.
+		Late     int `cbor:"4,keyasint,omitempty"` // Late is how many got one too late.
+
+		// PrefillMicros is how long engines take to read the prompts that came in the newest readingSpan, refused ones among them, in
 		// microseconds of an engine.
-		Reading int `cbor:"5,keyasint,omitempty"`
+		PrefillMicros int `cbor:"5,keyasint,omitempty"`
 	}
 
 	// tierCount counts how a tier's requests fared in the newest shortSpan.
 	tierCount struct {
-		asked, lacked *recent.Count
-		late          *recent.Count // late counts those that got a place too late.
-		reading       *recent.Count // reading is what the prompts take that came in the newest readingSpan, in microseconds.
-		began         time.Time     // began is when one last got a place.
+		asked, lacked *recent.Counter
+		late          *recent.Counter // late counts those that got a place too late.
+		reading       *recent.Counter // reading is what the prompts take that came in the newest readingSpan, in microseconds.
+		began         time.Time       // began is when one last got a place.
 	}
 
 	// told is what a peer told, by tier, and when.
 	told struct {
-		places []Places
+		places []TierStats
 		at     time.Time
 	}
 )
@@ -84,7 +84,7 @@
 func (l *line) arrived(now time.Time, tier int, reading time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.tiers[lineTier(tier)].reading.AddMany(now, int(reading/time.Microsecond))
+	l.tiers[lineTier(tier)].reading.AddN(now, int(reading/time.Microsecond))
 }
 
 // count counts a request by the tier of its route, which got a place, in time or late, or
@@ -106,7 +106,7 @@
 }
 
 // all returns how all tiers fared, here and at the peers. The caller holds the lock.
-func (l *line) all(now time.Time) (all [lineTiers]Places) {
+func (l *line) all(now time.Time) (all [lineTiers]TierStats) {
 	for _, p := range l.places(now) {
 		all[p.Tier] = p
 	}
@@ -117,32 +117,32 @@
 		}
 		for _, p := range told.places {
 			at := &all[lineTier(p.Tier)]
-			at.Asked += p.Asked
-			at.Lacked += p.Lacked
+			at.Requests += p.Requests
+			at.NoSlot += p.NoSlot
 			at.Late += p.Late
-			at.Reading += p.Reading
+			at.PrefillMicros += p.PrefillMicros
 		}
 	}
 	return all
 }
 
 // served reports whether a tier has a part in a pool's requests.
-func served(all [lineTiers]Places, tier int) bool {
+func served(all [lineTiers]TierStats, tier int) bool {
 	total := 0
 	for _, p := range all {
-		total += p.Asked
+		total += p.Requests
 	}
-	asked := all[tier].Asked
+	asked := all[tier].Requests
 	return asked > 0 && float64(asked) >= leastOfTier*float64(total)
 }
 
 // places returns how each tier that asked here lately fared. The caller holds the lock.
-func (l *line) places(now time.Time) []Places {
-	var out []Places
+func (l *line) places(now time.Time) []TierStats {
+	var out []TierStats
 	for tier := range l.tiers {
 		t := &l.tiers[tier]
-		p := Places{Tier: tier, Asked: t.asked.Sum(now), Lacked: t.lacked.Sum(now), Late: t.late.Sum(now), Reading: t.reading.Sum(now)}
-		if p.Asked > 0 || p.Reading > 0 {
+		p := TierStats{Tier: tier, Requests: t.asked.Sum(now), NoSlot: t.lacked.Sum(now), Late: t.late.Sum(now), PrefillMicros: t.reading.Sum(now)}
+		if p.Requests > 0 || p.PrefillMicros > 0 {
 			out = append(out, p)
 		}
 	}
@@ -178,7 +178,7 @@
 			continue
 		}
 		lacked := p.lacking(known.Scarce)
-		share := float64(lacked) / float64(p.Asked)
+		share := float64(lacked) / float64(p.Requests)
 		switch {
 		case lacked < shortLeast:
 		case highest && share > shortShare:
@@ -198,18 +198,18 @@
 // scarce those that got one too late. Where many are free again, the latter keep lower tiers from engines that stand idle: after
 // all engines that may be taken away had left three halls within 0.7 s, 1,100 short requests of three seconds at waits
 // of 0.02 to 0.07 s.
-func (p Places) lacking(scarce bool) int {
+func (p TierStats) lacking(scarce bool) int {
 	if scarce {
-		return p.Lacked + p.Late
+		return p.NoSlot + p.Late
 	}
-	return p.Lacked
+	return p.NoSlot
 }
 
-// Places returns how the tiers fared here lately, by pool.
-func (d *Dispatcher) Places(now time.Time) map[string][]Places {
+// TierStats returns how the tiers fared here lately, by pool.
+func (d *Dispatcher) TierStats(now time.Time) map[string][]TierStats {
 	d.lines.mu.Lock()
 	defer d.lines.mu.Unlock()
-	out := map[string][]Places{}
+	out := map[string][]TierStats{}
 	for name, l := range d.lines.pools {
 		l.mu.Lock()
 		if p := l.places(now); len(p) > 0 {
@@ -220,8 +220,8 @@
 	return out
 }
 
-// HeardPlaces takes what a peer tells of how the tiers fare there.
-func (d *Dispatcher) HeardPlaces(now time.Time, peer string, pools map[string][]Places) {
+// SetPeerTierStats takes what a peer tells of how the tiers fare there.
+func (d *Dispatcher) SetPeerTierStats(now time.Time, peer string, pools map[string][]TierStats) {
 	for name, p := range pools {
 		l := d.lines.of(now, name)
 		l.mu.Lock()
--- a/internal/dispatch/walk.go
+++ b/internal/dispatch/walk.go
@@ -26,7 +26,7 @@
 	req      *Request
 	route    *routing.Route
 	team     *routing.Team
-	answer   Answer
+	answer   AnswerWriter
 	arrived  time.Time
 	deadline time.Time
 	pool     string
@@ -141,7 +141,7 @@
 		return nil
 	}
 	if !w.d.proof.Fresh(now) {
-		return &Refusal{Reason: w.orMayHaveRun(Stale), ComeBack: shortReturn}
+		return &Refusal{Reason: w.orMayHaveRun(Stale), RetryAfter: shortReturn}
 	}
 	if team := w.d.Table().Team(w.req.Key); team == nil || team.Name != w.team.Name {
 		return &Refusal{Reason: w.orMayHaveRun(UnknownKey)}
@@ -149,10 +149,10 @@
 	return nil
 }
 
-// orMayHaveRun returns the reason, or Broken where the request may have run.
+// orMayHaveRun returns the reason, or EngineFailed where the request may have run.
 func (w *walk) orMayHaveRun(r Reason) Reason {
 	if w.mayHaveRun {
-		return Broken
+		return EngineFailed
 	}
 	return r
 }
@@ -163,13 +163,13 @@
 	reason := w.without()
 	left := none.Opens.Sub(now)
 	if left <= 0 {
-		return &Refusal{Reason: reason, ComeBack: shortReturn}
+		return &Refusal{Reason: reason, RetryAfter: shortReturn}
 	}
 	w.opens = left
 	if reason == NoEngine {
-		reason = Full
+		reason = EnginesFull
 	}
-	return &Refusal{Reason: reason, ComeBack: w.comeBackAfter(left)}
+	return &Refusal{Reason: reason, RetryAfter: w.comeBackAfter(left)}
 }
 
 // without says why no engine is left.
@@ -213,7 +213,7 @@
 
 // attemptFor returns what is sent to an engine.
 func (w *walk) attemptFor(now time.Time, e placement.Engine) Attempt {
-	return Attempt{Engine: e, Team: w.teamName(), Urgency: w.urgency(), Left: w.deadline.Sub(now), LastEventID: w.lastEventID}
+	return Attempt{Engine: e, Team: w.teamName(), Urgency: w.urgency(), TimeLeft: w.deadline.Sub(now), LastEventID: w.lastEventID}
 }
 
 // urgency returns the place among the requests at the chosen engine. Where places are
@@ -249,7 +249,7 @@
 		if w.unsent < maxUnsent && now.Before(w.deadline) {
 			return true
 		}
-		w.refuse(Refusal{Reason: w.orMayHaveRun(NoEngine), ComeBack: shortReturn})
+		w.refuse(Refusal{Reason: w.orMayHaveRun(NoEngine), RetryAfter: shortReturn})
 		return false
 	}
 	w.sent++
@@ -258,7 +258,7 @@
 	if w.retry(now, err) {
 		return true
 	}
-	w.refuse(Refusal{Reason: w.lateOr(now, Broken)})
+	w.refuse(Refusal{Reason: w.lateOr(now, EngineFailed)})
 	return false
 }
 
@@ -304,7 +304,7 @@
 		"ahead_tokens", w.choice.Ahead, "read_rate", math.Round(10*w.choice.Read)/10, "tight", w.choice.Tight,
 		"first_ms", w.first.Milliseconds(), "gap_ms", w.gap.Milliseconds(), "total_ms", now.Sub(w.arrived).Milliseconds(), "patience_ms", w.deadline.Sub(w.arrived).Milliseconds(),
 		"engine_limit", w.limit, "permit_ms", w.permitWait.Milliseconds(), "opens_ms", w.opens.Milliseconds(), "target_ms", w.route.Target.Milliseconds(), "longest_gap_ms", w.route.MaxGap.Milliseconds(),
-		"come_back_ms", w.refused.ComeBack.Milliseconds(), "config_version", w.d.Version(), "proof_age_ms", w.d.proof.AgeMs(now))
+		"come_back_ms", w.refused.RetryAfter.Milliseconds(), "config_version", w.d.Version(), "proof_age_ms", w.d.proof.AgeMs(now))
 	w.d.observer.Ended(w.route.Name, outcome, w.first, now.Sub(w.arrived))
 }
 
--- a/internal/edge/absence.go
+++ b/internal/edge/absence.go
@@ -20,7 +20,7 @@
 		return
 	}
 	e.proof.Forget(now)
-	e.dispatcher.Returned(now)
+	e.dispatcher.Resumed(now)
 	e.egress.ForgetAll()
 	e.absences.Add(1)
 	select {
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -188,7 +188,7 @@
 	e.calls = peer.NewClient(e.traffic, peer.WithSilence(feed.PullSilence))
 	e.discovery = discovery.New(platform.Engine, engines{e.placement, e.egress, e.limits}, ms(s.EngineDrainMs), e.log)
 	e.permits = limit.NewPermits(e.limits, e.calls, e.issuer, e.gossip.Reach, e.log)
-	e.dispatcher = dispatch.New(e.proof, e.placement, e.budget, e.egress, e.metrics, e.log, dispatch.WithProber(e.egress), dispatch.WithQuarantine(e.quarantine), dispatch.WithLeavers(e.discovery), dispatch.WithPermits(e.permits))
+	e.dispatcher = dispatch.New(e.proof, e.placement, e.budget, e.egress, e.metrics, e.log, dispatch.WithProber(e.egress), dispatch.WithQuarantine(e.quarantine), dispatch.WithLeaveObserver(e.discovery), dispatch.WithPermits(e.permits))
 	e.store = platform.NewStore(s.PlatformAddresses, platform.StoreTimeout)
 	e.register = register.New(now, e.store, self, slices.Collect(maps.Keys(s.HallRegions)), s.FirstStart, e.gossip, e.log)
 	e.config = feed.NewTable(platform.TableConfig, e.takeConfig)
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -50,7 +50,7 @@
 	versions := e.follower.Versions() // They are read before the work: it may be of later entries, not of earlier ones.
 	s := gossip.Said{
 		Ready: e.Ready(now), Stopping: e.dispatcher.Ready(now) == dispatch.Stopping, Rate: float32(e.dispatcher.Rate(now)), Loads: e.placement.Loads(), Uses: e.placement.TakeUses(), Versions: versions,
-		ConfigVersion: e.dispatcher.Version(), ProofAgeMs: -1, CantRead: e.cantRead(now), SilentMs: -1, LostAgeMs: -1, Places: e.dispatcher.Places(now), Holder: e.sayHolder(now), Crashing: e.quarantine.Tell(now, gossip.NewsLife), Limits: e.limits.Tell(now, gossip.NewsLife), Leaving: e.discovery.TellLeaving(now, gossip.NewsLife),
+		ConfigVersion: e.dispatcher.Version(), ProofAgeMs: -1, CantRead: e.cantRead(now), SilentMs: -1, LostAgeMs: -1, Places: e.dispatcher.TierStats(now), Holder: e.sayHolder(now), Crashing: e.quarantine.Tell(now, gossip.NewsLife), Limits: e.limits.Tell(now, gossip.NewsLife), Leaving: e.discovery.TellLeaving(now, gossip.NewsLife),
 	}
 	if age, ok := e.proof.Age(now); ok {
 		s.ProofAgeMs = age.Milliseconds() + 1 // It is rounded up: a proof must not grow younger on its way.
@@ -68,7 +68,7 @@
 // it had received this node's message, which is on this node's clock.
 func (e *Edge) Heard(now time.Time, p gossip.Self, s gossip.Said, received time.Time) {
 	e.placement.Peer(now, p.Name, s.Versions[platform.TableEngines], s.Loads, s.Uses)
-	e.dispatcher.HeardPlaces(now, p.Name, s.Places)
+	e.dispatcher.SetPeerTierStats(now, p.Name, s.Places)
 	e.quarantine.Hear(now, s.Crashing)
 	e.limits.Hear(now, s.Limits)
 	e.discovery.HearLeaving(now, s.Leaving)
--- a/internal/front/completions.go
+++ b/internal/front/completions.go
@@ -23,7 +23,7 @@
 	Dispatcher interface {
 		AwaitStart(ctx context.Context, arrived time.Time, r *dispatch.Request)
 		Check(now time.Time, r *dispatch.Request) (*routing.Route, *routing.Team, *dispatch.Refusal)
-		Serve(ctx context.Context, arrived time.Time, r *dispatch.Request, route *routing.Route, team *routing.Team, a dispatch.Answer)
+		Serve(ctx context.Context, arrived time.Time, r *dispatch.Request, route *routing.Route, team *routing.Team, a dispatch.AnswerWriter)
 		Refused(now time.Time, r *dispatch.Request, refusal *dispatch.Refusal)
 	}
 
@@ -121,7 +121,7 @@
 		return &CallerError{Status: http.StatusBadRequest, Code: "bad_body", Message: "model is missing"}
 	}
 	req.Body, req.Model, req.Prompt, req.OutputTokens = body, doc.Model, doc.prompt(len(body)), doc.outputTokens()
-	req.Asked = doc.Model
+	req.RequestedModel = doc.Model
 	return nil
 }
 
@@ -140,7 +140,7 @@
 
 // Refuse gives the final answer where no engine gave one.
 func (a *completionAnswer) Refuse(r dispatch.Refusal) {
-	e := &CallerError{Status: r.Reason.Status(), Code: string(r.Reason), Message: "the request was not served: " + string(r.Reason), RetryAfter: r.ComeBack}
+	e := &CallerError{Status: r.Reason.Status(), Code: string(r.Reason), Message: "the request was not served: " + string(r.Reason), RetryAfter: r.RetryAfter}
 	if r.Reason.MayHaveRun() {
 		e.Outcome = OutcomeUnknown
 	}
--- a/internal/front/completions_test.go
+++ b/internal/front/completions_test.go
@@ -22,7 +22,7 @@
 // fakeDispatcher refuses requests, or serves them as a test says.
 type fakeDispatcher struct {
 	refusal *dispatch.Refusal
-	serve   func(a dispatch.Answer)
+	serve   func(a dispatch.AnswerWriter)
 	got     *dispatch.Request
 	refused int
 	served  int
@@ -35,7 +35,7 @@
 	return &routing.Route{}, nil, d.refusal
 }
 
-func (d *fakeDispatcher) Serve(_ context.Context, _ time.Time, _ *dispatch.Request, _ *routing.Route, _ *routing.Team, a dispatch.Answer) {
+func (d *fakeDispatcher) Serve(_ context.Context, _ time.Time, _ *dispatch.Request, _ *routing.Route, _ *routing.Team, a dispatch.AnswerWriter) {
 	d.served++
 	if d.serve != nil {
 		d.serve(a)
@@ -75,7 +75,7 @@
 // messages are shared parts which are told alike in another conversation, and that
 // the answer passes unchanged.
 func TestCompletionBecomesARequest(t *testing.T) {
-	d := &fakeDispatcher{serve: func(a dispatch.Answer) {
+	d := &fakeDispatcher{serve: func(a dispatch.AnswerWriter) {
 		a.Begin(&dispatch.Response{Status: 200, Header: http.Header{"Content-Type": {"text/event-stream"}, "Connection": {"close"}}, Length: -1})
 		if err := a.Write([]byte("data: 1\n\n")); err != nil {
 			t.Error(err)
@@ -107,9 +107,9 @@
 		outcome string
 		after   string
 	}{
-		{dispatch.Refusal{Reason: dispatch.Busy, ComeBack: 400 * time.Millisecond}, 503, OutcomeNotRun, "400"},
+		{dispatch.Refusal{Reason: dispatch.Busy, RetryAfter: 400 * time.Millisecond}, 503, OutcomeNotRun, "400"},
 		{dispatch.Refusal{Reason: dispatch.UnknownKey}, 401, OutcomeNotRun, ""},
-		{dispatch.Refusal{Reason: dispatch.Broken}, 502, OutcomeUnknown, ""},
+		{dispatch.Refusal{Reason: dispatch.EngineFailed}, 502, OutcomeUnknown, ""},
 		{dispatch.Refusal{Reason: dispatch.TimedOut}, 504, OutcomeUnknown, ""},
 	} {
 		resp, text, err := complete(t, &fakeDispatcher{refusal: &test.refusal}, conversation("x"), nil)
@@ -147,7 +147,7 @@
 
 // TestCompletionThatBreaksOff holds that an answer which is not whole does not look whole.
 func TestCompletionThatBreaksOff(t *testing.T) {
-	d := &fakeDispatcher{serve: func(a dispatch.Answer) {
+	d := &fakeDispatcher{serve: func(a dispatch.AnswerWriter) {
 		a.Begin(&dispatch.Response{Status: 200, Header: http.Header{}, Length: -1})
 		if err := a.Write([]byte("data: 1\n\n")); err != nil {
 			t.Error(err)
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -28,24 +28,24 @@
 	// and the next understand each other while a release rolls: what is not known is passed over, and what is not told is
 	// zero. A number is never used again for something else, and a new field's zero says that nothing is told.
 	Said struct {
-		Ready         bool                         `cbor:"1,keyasint,omitempty"`  // Ready says that it takes callers.
-		Stopping      bool                         `cbor:"2,keyasint,omitempty"`  // Stopping says that it ends soon.
-		Rate          float32                      `cbor:"3,keyasint,omitempty"`  // Rate is how many requests a second it serves.
-		Loads         map[string]placement.Load    `cbor:"4,keyasint,omitempty"`  // Loads is its own work, by engine.
-		Uses          []placement.Use              `cbor:"5,keyasint,omitempty"`  // Uses are the prompt parts it gave to engines since it last spoke to the receiver.
-		Versions      map[string]int64             `cbor:"6,keyasint,omitempty"`  // Versions are those of its tables.
-		ConfigVersion int                          `cbor:"7,keyasint,omitempty"`  // ConfigVersion is of the configuration in force there.
-		ProofAgeMs    int64                        `cbor:"8,keyasint,omitempty"`  // ProofAgeMs is the age of the proof that this is the newest; -1 for none.
-		CantRead      bool                         `cbor:"9,keyasint,omitempty"`  // CantRead says that it leaves reading the platform's store to others for now.
-		SilentMs      int64                        `cbor:"10,keyasint,omitempty"` // SilentMs is how long a node that reads the store has had no answer; -1 if it does not read.
-		LostAgeMs     int64                        `cbor:"11,keyasint,omitempty"` // LostAgeMs is how long ago its last call failed; -1 if never.
-		Places        map[string][]dispatch.Places `cbor:"12,keyasint,omitempty"` // Places tells how the tiers fared, by pool.
-		Holder        Holder                       `cbor:"13,keyasint,omitempty"` // Holder is who holds the system's duties, as the sender knows.
-		Crashing      []quarantine.Told            `cbor:"14,keyasint,omitempty"` // Crashing are requests under which engines ended: what was learned of them lately, and all that are held.
-		Nodes         NodeCount                    `cbor:"15,keyasint,omitzero"`  // Nodes is how many nodes a hub knows of.
-		Chosen        []Known                      `cbor:"16,keyasint,omitempty"` // Chosen are the hubs that a hub wants in its hall, for those that may not know them.
-		Limits        []limit.Told                 `cbor:"17,keyasint,omitempty"` // Limits are the limits of engines, and which of them have ended lately.
-		Leaving       []discovery.Told             `cbor:"18,keyasint,omitempty"` // Leaving are engines that said in their answers that they leave.
+		Ready         bool                            `cbor:"1,keyasint,omitempty"`  // Ready says that it takes callers.
+		Stopping      bool                            `cbor:"2,keyasint,omitempty"`  // Stopping says that it ends soon.
+		Rate          float32                         `cbor:"3,keyasint,omitempty"`  // Rate is how many requests a second it serves.
+		Loads         map[string]placement.Load       `cbor:"4,keyasint,omitempty"`  // Loads is its own work, by engine.
+		Uses          []placement.Use                 `cbor:"5,keyasint,omitempty"`  // Uses are the prompt parts it gave to engines since it last spoke to the receiver.
+		Versions      map[string]int64                `cbor:"6,keyasint,omitempty"`  // Versions are those of its tables.
+		ConfigVersion int                             `cbor:"7,keyasint,omitempty"`  // ConfigVersion is of the configuration in force there.
+		ProofAgeMs    int64                           `cbor:"8,keyasint,omitempty"`  // ProofAgeMs is the age of the proof that this is the newest; -1 for none.
+		CantRead      bool                            `cbor:"9,keyasint,omitempty"`  // CantRead says that it leaves reading the platform's store to others for now.
+		SilentMs      int64                           `cbor:"10,keyasint,omitempty"` // SilentMs is how long a node that reads the store has had no answer; -1 if it does not read.
+		LostAgeMs     int64                           `cbor:"11,keyasint,omitempty"` // LostAgeMs is how long ago its last call failed; -1 if never.
+		Places        map[string][]dispatch.TierStats `cbor:"12,keyasint,omitempty"` // Places tells how the tiers fared, by pool.
+		Holder        Holder                          `cbor:"13,keyasint,omitempty"` // Holder is who holds the system's duties, as the sender knows.
+		Crashing      []quarantine.Told               `cbor:"14,keyasint,omitempty"` // Crashing are requests under which engines ended: what was learned of them lately, and all that are held.
+		Nodes         NodeCount                       `cbor:"15,keyasint,omitzero"`  // Nodes is how many nodes a hub knows of.
+		Chosen        []Known                         `cbor:"16,keyasint,omitempty"` // Chosen are the hubs that a hub wants in its hall, for those that may not know them.
+		Limits        []limit.Told                    `cbor:"17,keyasint,omitempty"` // Limits are the limits of engines, and which of them have ended lately.
+		Leaving       []discovery.Told                `cbor:"18,keyasint,omitempty"` // Leaving are engines that said in their answers that they leave.
 	}
 
 	// Known is a node of the sender's hall, as others reach it.
--- a/internal/gossip/message_test.go
+++ b/internal/gossip/message_test.go
@@ -23,7 +23,7 @@
 			Places map[string][]olderPlaces `cbor:"12,keyasint,omitempty"`
 		}
 		newerPlaces struct {
-			dispatch.Places
+			dispatch.TierStats
 			Newer int `cbor:"90,keyasint"`
 		}
 		newer struct {
@@ -32,7 +32,7 @@
 			Newer  []string                 `cbor:"99,keyasint"`
 		}
 	)
-	said := gossip.Said{Ready: true, Rate: 3, ProofAgeMs: -1, Places: map[string][]dispatch.Places{"p": {{Tier: 2, Asked: 7, Lacked: 1, Late: 2, Reading: 900}}}}
+	said := gossip.Said{Ready: true, Rate: 3, ProofAgeMs: -1, Places: map[string][]dispatch.TierStats{"p": {{Tier: 2, Requests: 7, NoSlot: 1, Late: 2, PrefillMicros: 900}}}}
 
 	var old older
 	translate(t, said, &old)
@@ -41,7 +41,7 @@
 	}
 
 	var got gossip.Said
-	translate(t, newer{Ready: true, Places: map[string][]newerPlaces{"p": {{Places: said.Places["p"][0], Newer: 1}}}, Newer: []string{"x"}}, &got)
+	translate(t, newer{Ready: true, Places: map[string][]newerPlaces{"p": {{TierStats: said.Places["p"][0], Newer: 1}}}, Newer: []string{"x"}}, &got)
 	if !got.Ready || len(got.Places["p"]) != 1 || got.Places["p"][0] != said.Places["p"][0] {
 		t.Errorf("of the newer release is understood %+v", got)
 	}
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -32,7 +32,7 @@
 
 	// window counts what was sent to one pool.
 	window struct {
-		requests, retries *recent.Count
+		requests, retries *recent.Counter
 	}
 )
 
