--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -1,5 +1,5 @@
-// Package retry bounds how many requests go to a second engine, so that a
-// service in trouble is not pressed further by the router.
+// Package retry bounds how many requests are sent to another engine, so that the router does not
+// add load to a service in trouble.
 package retry
 
 import (
@@ -9,39 +9,39 @@
 	"github.com/croftturn/croftturn/internal/recent"
 )
 
-// slices is how many parts a window is counted in.
+// slices is the number of slices of a window.
 const slices = 20
 
 type (
 	// Limits are the bounds over all nodes.
 	Limits struct {
-		Share  float64       // Share of the requests that may be sent again.
-		Extra  float64       // Extra is how many more may be sent again in a window, over all nodes.
-		Window time.Duration // Window slides.
+		Share  float64       // Share of the requests that may be retried.
+		Extra  float64       // Extra is the number of additional retries per window, over all nodes.
+		Window time.Duration // Window is the length of the sliding window.
 	}
 
 	// Budget counts the requests and retries of one node, by pool.
 	Budget struct {
 		limits Limits
 		nodes  func() int
-		start  time.Time // start of the count; differences to it are of the steady clock
+		start  time.Time // start is when counting began; differences to it use the monotonic clock
 
 		mu    sync.Mutex
 		pools map[string]*window
 	}
 
-	// window counts what was sent to one pool.
+	// window counts the requests and retries of one pool.
 	window struct {
 		requests, retries *recent.Counter
 	}
 )
 
-// New returns a budget; nodes tells how many nodes share the limits.
+// New returns a budget. nodes returns the number of nodes that share the limits.
 func New(now time.Time, limits Limits, nodes func() int) *Budget {
 	return &Budget{limits: limits, nodes: nodes, start: now, pools: map[string]*window{}}
 }
 
-// SetLimits changes the limits; a new window takes effect with a new process only.
+// SetLimits changes the limits, except the window, which is fixed for the life of the process.
 func (b *Budget) SetLimits(l Limits) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -56,8 +56,8 @@
 	b.window(pool).requests.Add(now)
 }
 
-// Take reports whether one more request may be sent again, and counts it. This
-// node's part of the extra is that of one node among all.
+// Take reports whether one more retry is allowed, and counts it. The extra retries are divided
+// evenly among the nodes.
 func (b *Budget) Take(now time.Time, pool string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -70,7 +70,7 @@
 	return true
 }
 
-// window returns a pool's counts.
+// window returns the window of a pool. The caller holds the lock.
 func (b *Budget) window(pool string) *window {
 	w := b.pools[pool]
 	if w == nil {
--- a/internal/retry/budget_test.go
+++ b/internal/retry/budget_test.go
@@ -9,9 +9,9 @@
 
 var start = time.Unix(1000, 0)
 
-// TestBudgetHoldsInEverySpan sends far too many retries by several nodes and
-// counts them in every span of the window's length.
-func TestBudgetHoldsInEverySpan(t *testing.T) {
+// TestBudgetHoldsInEveryWindow sends far too many retries from several nodes and checks their number
+// in every span as long as the window.
+func TestBudgetHoldsInEveryWindow(t *testing.T) {
 	const nodes, share, extra = 4, 0.2, 52
 	window := 10 * time.Second
 	var budgets []*retry.Budget
@@ -41,7 +41,7 @@
 	}
 }
 
-// within counts the moments in a span.
+// within counts the times within a span.
 func within(list []time.Time, from, to time.Time) int {
 	n := 0
 	for _, at := range list {
@@ -52,8 +52,8 @@
 	return n
 }
 
-// TestBudgetForgets holds that what was used comes back after the window.
-func TestBudgetForgets(t *testing.T) {
+// TestBudgetRefillsAfterWindow checks that used retries become available again after the window.
+func TestBudgetRefillsAfterWindow(t *testing.T) {
 	b := retry.New(start, retry.Limits{Extra: 3, Window: 10 * time.Second}, func() int { return 1 })
 	for i := range 5 {
 		if got := b.Take(start, "p"); got != (i < 3) {
@@ -65,6 +65,6 @@
 	}
 	b.SetLimits(retry.Limits{Extra: 0})
 	if b.Take(start.Add(30*time.Second), "p") {
-		t.Error("new limits are not in force")
+		t.Error("new limits are not applied")
 	}
 }
