--- a/internal/recent/recent_test.go
+++ b/internal/recent/recent_test.go
@@ -9,9 +9,9 @@
 
 var start = time.Unix(1000, 0)
 
-// TestCountForgetsBySlices holds that an event counts for the span, less one slice at
-// most, and no longer, also after many spans without any.
-func TestCountForgetsBySlices(t *testing.T) {
+// TestEventsExpireBySlice checks that an event counts for the window, less one slice at most, and
+// no longer, also after many windows without events.
+func TestEventsExpireBySlice(t *testing.T) {
 	c := recent.New(start, 5*time.Second, 10)
 	for range 3 {
 		c.Add(start.Add(400 * time.Millisecond))
@@ -34,9 +34,9 @@
 	}
 }
 
-// TestCountOfEarlierMoments holds that a moment before the newest, or before the
-// beginning, counts now and clears nothing: goroutines read the clock before they count.
-func TestCountOfEarlierMoments(t *testing.T) {
+// TestEventsOutOfOrder checks that a time before the newest slice, or before the start, counts
+// as now and clears nothing: goroutines read the clock before they count.
+func TestEventsOutOfOrder(t *testing.T) {
 	c := recent.New(start, 5*time.Second, 10)
 	c.Add(start.Add(-time.Minute))
 	c.Add(start.Add(3 * time.Second))
@@ -45,6 +45,6 @@
 		t.Errorf("%d events, want 3", got)
 	}
 	if got := c.Sum(start.Add(7 * time.Second)); got != 2 {
-		t.Errorf("%d events after the first was forgotten, want 2", got)
+		t.Errorf("%d events after the first expired, want 2", got)
 	}
 }
