--- a/internal/reply/reply.go
+++ b/internal/reply/reply.go
@@ -1,5 +1,5 @@
-// Package reply passes an engine's answer on to a caller, piece by piece, so that
-// one which is not whole never looks whole.
+// Package reply writes the answer of an engine to a caller as it arrives, and makes sure that an
+// incomplete answer never looks complete.
 package reply
 
 import (
@@ -12,28 +12,28 @@
 	"github.com/croftturn/croftturn/internal/header"
 )
 
-// Writer writes one answer to a caller. It is not safe for use by several goroutines.
+// Writer writes one answer to a caller. It is not safe for concurrent use.
 type Writer struct {
 	w       http.ResponseWriter
 	control *http.ResponseController
-	limit   time.Duration // limit bounds each write.
-	stream  bool          // stream says that each piece goes out at once.
+	limit   time.Duration // limit is the timeout of each write.
+	stream  bool          // stream is set if each piece is flushed at once.
 	aborted bool
 }
 
-// New returns a writer; limit bounds how long one write to the caller may block.
+// New returns a writer; limit is the timeout of one write to the caller.
 func New(w http.ResponseWriter, limit time.Duration) *Writer {
 	return &Writer{w: w, control: http.NewResponseController(w), limit: limit}
 }
 
-// Begin begins an engine's answer.
+// Begin writes the head of an answer.
 func (w *Writer) Begin(resp *dispatch.Response) {
 	h := w.w.Header()
 	for name, values := range header.EndToEnd(resp.Header) {
 		h[name] = values
 	}
 	if _, ok := h["Content-Type"]; !ok {
-		h["Content-Type"] = nil // The engine named none, and none is guessed.
+		h["Content-Type"] = nil // The engine sent none; nil keeps net/http from guessing one.
 	}
 	if resp.Length >= 0 {
 		h.Set("Content-Length", strconv.FormatInt(resp.Length, 10))
@@ -45,7 +45,7 @@
 // Write writes a piece of the body.
 func (w *Writer) Write(p []byte) error {
 	if err := w.control.SetWriteDeadline(time.Now().Add(w.limit)); err != nil {
-		return fmt.Errorf("bound write: %w", err)
+		return fmt.Errorf("set write deadline: %w", err)
 	}
 	if _, err := w.w.Write(p); err != nil {
 		return fmt.Errorf("write to caller: %w", err)
@@ -59,11 +59,11 @@
 	return nil
 }
 
-// Abort marks an answer that is not whole.
+// Abort marks the answer as incomplete.
 func (w *Writer) Abort() { w.aborted = true }
 
-// Finish ends the answer. One that is not whole ends with its connection, so that
-// the caller can see that; the caller of Finish does nothing after it.
+// Finish ends the answer. If it is incomplete, Finish panics with http.ErrAbortHandler to close the
+// connection, so that the caller notices; the handler does nothing after it.
 func (w *Writer) Finish() {
 	if w.aborted {
 		panic(http.ErrAbortHandler)
--- a/internal/reply/reply_test.go
+++ b/internal/reply/reply_test.go
@@ -15,11 +15,11 @@
 	"github.com/croftturn/croftturn/internal/reply"
 )
 
-// limit bounds the writes of these tests.
+// limit is the write timeout of these tests.
 const limit = 200 * time.Millisecond
 
-// get asks a server whose answers a function writes, and fails the test where not even a head
-// comes.
+// get requests a server whose answer is written by a function, and fails the test if not even a
+// head arrives.
 func get(t *testing.T, answer func(w *reply.Writer)) *http.Response {
 	t.Helper()
 	resp, err := ask(t, answer)
@@ -30,7 +30,7 @@
 	return resp
 }
 
-// ask does what get does and returns the error.
+// ask is get that returns the error.
 func ask(t *testing.T, answer func(w *reply.Writer)) (*http.Response, error) {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -42,12 +42,12 @@
 	return http.Get(server.URL)
 }
 
-// head returns the head of an engine's answer with a length, -1 for none.
+// head returns the head of an answer with a length, -1 for none.
 func head(length int64, h http.Header) *dispatch.Response {
 	return &dispatch.Response{Status: http.StatusOK, Header: h, Length: length}
 }
 
-// write writes a piece and fails the test where that fails.
+// write writes a piece and fails the test if that fails.
 func write(t *testing.T, w *reply.Writer, piece string) {
 	t.Helper()
 	if err := w.Write([]byte(piece)); err != nil {
@@ -55,8 +55,8 @@
 	}
 }
 
-// TestWholeAnswer holds that an answer with a length reaches the caller as the engine gave
-// it: its headers, but for those of one connection, no guessed type, its length, its body.
+// TestWholeAnswer checks that an answer with a length reaches the caller as the engine sent it: its
+// end-to-end headers, no guessed type, its length and its body.
 func TestWholeAnswer(t *testing.T) {
 	resp := get(t, func(w *reply.Writer) {
 		w.Begin(head(5, http.Header{"X-Engine": {"a", "b"}, "Connection": {"X-Hop"}, "X-Hop": {"1"}, "Keep-Alive": {"timeout=9"}}))
@@ -71,14 +71,14 @@
 	}
 	for _, name := range []string{"X-Hop", "Keep-Alive", "Content-Type"} {
 		if got, ok := resp.Header[name]; ok {
-			t.Errorf("%s: %q, which the engine did not say to the caller", name, got)
+			t.Errorf("%s: %q, which the engine did not send to the caller", name, got)
 		}
 	}
 }
 
-// TestPiecesOfAStreamGoOutAtOnce holds that a piece of an answer without a length reaches the
+// TestStreamIsFlushedPerWrite checks that a piece of an answer without a length reaches the
 // caller before the next one is written.
-func TestPiecesOfAStreamGoOutAtOnce(t *testing.T) {
+func TestStreamIsFlushedPerWrite(t *testing.T) {
 	next := make(chan struct{})
 	resp := get(t, func(w *reply.Writer) {
 		w.Begin(head(-1, http.Header{}))
@@ -99,9 +99,9 @@
 	}
 }
 
-// TestAbortedAnswerDoesNotLookWhole holds that the caller sees that an answer is not whole,
-// with a length and without, though all that was written is well formed.
-func TestAbortedAnswerDoesNotLookWhole(t *testing.T) {
+// TestAbortedAnswerLooksIncomplete checks that the caller can tell that an answer is incomplete,
+// with a length and without, although all that was written is well formed.
+func TestAbortedAnswerLooksIncomplete(t *testing.T) {
 	for name, length := range map[string]int64{"with a length": 9, "without": -1} {
 		t.Run(name, func(t *testing.T) {
 			resp, err := ask(t, func(w *reply.Writer) {
@@ -110,19 +110,19 @@
 				w.Abort()
 			})
 			if err != nil {
-				return // The connection ended before a head came.
+				return // The connection closed before a head arrived.
 			}
 			defer resp.Body.Close()
 			if body, err := io.ReadAll(resp.Body); err == nil {
-				t.Errorf("%q looks whole", body)
+				t.Errorf("%q looks complete", body)
 			}
 		})
 	}
 }
 
-// TestCallerThatDoesNotReadIsGivenUp holds that a write to a caller that takes no bytes ends
-// by its limit, so that it holds nothing back for longer.
-func TestCallerThatDoesNotReadIsGivenUp(t *testing.T) {
+// TestWriteTimesOut checks that a write to a caller that does not read ends at the
+// write timeout.
+func TestWriteTimesOut(t *testing.T) {
 	failed := make(chan error, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		a := reply.New(w, limit)
@@ -146,9 +146,9 @@
 	select {
 	case err := <-failed:
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("the write ended with %v, want its limit", err)
+			t.Errorf("the write ended with %v, want its timeout", err)
 		}
 	case <-time.After(30 * time.Second):
-		t.Error("the write goes on")
+		t.Error("the write does not end")
 	}
 }
