--- a/internal/sse/sse.go
+++ b/internal/sse/sse.go
@@ -1,5 +1,4 @@
-// Package sse splits a stream of server-sent events into whole events, byte for
-// byte as they came.
+// Package sse splits a stream of server-sent events into whole events without changing a byte.
 package sse
 
 import (
@@ -10,17 +9,17 @@
 	"io"
 )
 
-// maxEvent bounds one event, in bytes.
+// maxEvent is the maximum length of an event, in bytes.
 const maxEvent = 1 << 20
 
-// ErrTooLong says that an event is longer than is read.
+// ErrTooLong means that an event exceeds the maximum length.
 var ErrTooLong = errors.New("sse: event too long")
 
 type (
 	// Event is one whole event.
 	Event struct {
-		Raw []byte // Raw is the event with the empty line that ends it; it is valid until the next call of Next.
-		ID  string // ID is the event's id, empty if it has none.
+		Raw []byte // Raw is the event including the empty line that ends it; it is valid until the next call of Next.
+		ID  string // ID is the event ID, empty if it has none.
 	}
 
 	// Reader reads events.
@@ -33,8 +32,8 @@
 // NewReader returns a reader of the events in r.
 func NewReader(r io.Reader) *Reader { return &Reader{lines: bufio.NewReaderSize(r, 1<<10)} }
 
-// Next returns the next whole event. At the end of the stream it returns
-// io.EOF; an event that is cut short is io.ErrUnexpectedEOF.
+// Next returns the next event. It returns io.EOF at the end of the stream, and io.ErrUnexpectedEOF
+// if the last event is truncated.
 func (r *Reader) Next() (Event, error) {
 	r.raw = r.raw[:0]
 	e := Event{}
@@ -61,7 +60,7 @@
 	}
 }
 
-// line adds the next line to the event.
+// line appends the next line to the event.
 func (r *Reader) line() error {
 	for {
 		part, err := r.lines.ReadSlice('\n')
--- a/internal/sse/sse_test.go
+++ b/internal/sse/sse_test.go
@@ -10,8 +10,9 @@
 	"github.com/croftturn/croftturn/internal/sse"
 )
 
-// TestEventsComeWholeAndUnchanged reads a stream one byte at a time.
-func TestEventsComeWholeAndUnchanged(t *testing.T) {
+// TestEventsAreWholeAndUnchanged reads a stream one byte at a time and checks that its events are
+// whole and unchanged.
+func TestEventsAreWholeAndUnchanged(t *testing.T) {
 	const text = "id: 1\ndata: a\n\nid:2\r\ndata: b\r\n\r\n: comment\ndata: " + "long" + "\n\n"
 	r := sse.NewReader(iotest.OneByteReader(strings.NewReader(text)))
 	var all strings.Builder
@@ -32,17 +33,17 @@
 	}
 }
 
-// TestEventCutShort holds that an event without its end is not passed on.
-func TestEventCutShort(t *testing.T) {
+// TestTruncatedEvent checks that a truncated event is not returned.
+func TestTruncatedEvent(t *testing.T) {
 	r := sse.NewReader(strings.NewReader("id: 1\n\nid: 2\ndata:"))
 	if _, err := r.Next(); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := r.Next(); !errors.Is(err, io.ErrUnexpectedEOF) {
-		t.Errorf("got %v, want an unexpected end", err)
+		t.Errorf("got %v, want io.ErrUnexpectedEOF", err)
 	}
 	long := sse.NewReader(strings.NewReader("data: " + strings.Repeat("x", 2<<20) + "\n\n"))
 	if _, err := long.Next(); !errors.Is(err, sse.ErrTooLong) {
-		t.Errorf("got %v, want an event too long", err)
+		t.Errorf("got %v, want ErrTooLong", err)
 	}
 }
