--- a/internal/dispatch/walk.go
+++ b/internal/dispatch/walk.go
@@ -84,7 +84,7 @@
 	if x.d.exchanges.resumes.Load() != resumes {
 		return true // A decision made before a suspension is made again.
 	}
-	if refusal := x.refuseQuarantined(now); refusal != nil { // It may have been quarantined while this one waited.
+	if refusal := x.refuseQuarantined(now); refusal != nil { // It may have been quarantined while it waited for a slot.
 		x.refuse(*refusal)
 		return false
 	}
