--- a/internal/dispatch/ended.go
+++ b/internal/dispatch/ended.go
@@ -54,31 +54,31 @@
 }
 
 // probe checks an engine, or returns the result of a recent check by another request.
-func (e *crashDetector) probe(ctx context.Context, now time.Time, address string) *probe {
-	e.mu.Lock()
-	p := e.probes[address]
+func (c *crashDetector) probe(ctx context.Context, now time.Time, address string) *probe {
+	c.mu.Lock()
+	p := c.probes[address]
 	if p != nil && now.Sub(p.startedAt) <= probeTTL {
-		e.mu.Unlock()
+		c.mu.Unlock()
 		<-p.done
 		return p
 	}
 	p = &probe{startedAt: now, done: make(chan struct{})}
-	e.expire(now)
-	e.probes[address] = p
-	e.mu.Unlock()
+	c.expire(now)
+	c.probes[address] = p
+	c.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), probeTimeout)
 	defer cancel()
-	p.ended = e.prober.Ended(ctx, address)
+	p.ended = c.prober.Ended(ctx, address)
 	p.took = clock.Since(now)
 	close(p.done)
 	return p
 }
 
 // expire removes outdated probes. The caller holds the lock.
-func (e *crashDetector) expire(now time.Time) {
-	for address, p := range e.probes {
+func (c *crashDetector) expire(now time.Time) {
+	for address, p := range c.probes {
 		if now.Sub(p.startedAt) > probeTTL {
-			delete(e.probes, address)
+			delete(c.probes, address)
 		}
 	}
 }
--- a/internal/dispatch/ended_test.go
+++ b/internal/dispatch/ended_test.go
@@ -81,7 +81,7 @@
 		ended    bool
 		draining bool
 		want     int64 // want is how many of two requests count as crashed.
-		asked    int64
+		probes    int64
 		began    int64
 	}{
 		"no answer, engine crashed":      {reset, true, false, 2, 1, 0},
@@ -112,8 +112,8 @@
 			}
 		}
 		wg.Wait()
-		if count.n.Load() != c.want || p.probes.Load() != c.asked {
-			t.Errorf("%s: %d requests count, after %d probes; want %d after %d", name, count.n.Load(), p.probes.Load(), c.want, c.asked)
+		if count.n.Load() != c.want || p.probes.Load() != c.probes {
+			t.Errorf("%s: %d requests count, after %d probes; want %d after %d", name, count.n.Load(), p.probes.Load(), c.want, c.probes)
 		}
 		if got := count.began.Load(); got != c.began {
 			t.Errorf("%s: %d requests count as started, want %d", name, got, c.began)
--- a/internal/dispatch/relay.go
+++ b/internal/dispatch/relay.go
@@ -115,7 +115,7 @@
 	}
 	x.beginAnswer(resp)
 	if writeErr := x.answer.Write(head); writeErr != nil {
-		x.endForCaller(now)
+		x.abortAnswer(now)
 		return false
 	}
 	if !whole {
@@ -140,8 +140,8 @@
 	x.recordAnswer(now)
 }
 
-// endForCaller records that the caller left or could not be written to.
-func (x *exchange) endForCaller(now time.Time) {
+// abortAnswer aborts the answer of a caller that left or could not be written to.
+func (x *exchange) abortAnswer(now time.Time) {
 	x.call.End(now, placement.Left)
 	x.refusal = Refusal{Reason: CallerLeft}
 	x.answer.Abort()
@@ -173,8 +173,8 @@
 		now := clock.Now()
 		if n > 0 {
 			x.recordBytes(now)
-			if werr := x.answer.Write(buf[:n]); werr != nil {
-				x.endForCaller(now)
+			if writeErr := x.answer.Write(buf[:n]); writeErr != nil {
+				x.abortAnswer(now)
 				return false
 			}
 		}
@@ -212,8 +212,8 @@
 		x.recordBytes(now)
 		onEvent()
 		x.beginAnswer(resp)
-		if werr := x.answer.Write(event.Raw); werr != nil {
-			x.endForCaller(now)
+		if writeErr := x.answer.Write(event.Raw); writeErr != nil {
+			x.abortAnswer(now)
 			return false
 		}
 		if event.ID != "" {
@@ -236,7 +236,7 @@
 func (x *exchange) handleBodyError(ctx context.Context, err error) (again bool) {
 	now := clock.Now()
 	if x.callerLeft(ctx) {
-		x.endForCaller(now)
+		x.abortAnswer(now)
 		return false
 	}
 	x.mayHaveRun = true
--- a/internal/dispatch/walk.go
+++ b/internal/dispatch/walk.go
@@ -239,7 +239,7 @@
 func (x *exchange) handleSendError(ctx context.Context, err error) (again bool) {
 	now := clock.Now()
 	if x.callerLeft(ctx) {
-		x.endForCaller(now)
+		x.abortAnswer(now)
 		return false
 	}
 	x.call.End(now, placement.Failed)
