--- a/internal/dispatch/ended_test.go
+++ b/internal/dispatch/ended_test.go
@@ -81,7 +81,7 @@
 		ended    bool
 		draining bool
 		want     int64 // want is how many of two requests count as crashed.
-		probes    int64
+		probes   int64
 		began    int64
 	}{
 		"no answer, engine crashed":      {reset, true, false, 2, 1, 0},
--- a/internal/dispatch/said.go
+++ b/internal/dispatch/said.go
@@ -8,7 +8,7 @@
 // LeaveObserver is notified of engines that leave.
 type LeaveObserver interface {
 	// Leaves records that an incarnation of an engine announced in an answer that it leaves.
-	Leaves(now time.Time, engine string, born int64)
+	Leaves(now time.Time, engine string, incarnation int64)
 }
 
 // WithLeaveObserver makes a dispatcher report engines that announce that they leave.
