--- a/internal/dispatch/crashes.go
+++ b/internal/dispatch/crashes.go
@@ -33,7 +33,7 @@
 	if held == nil {
 		return nil
 	}
-	first, newest := held.Ends[0], held.Ends[len(held.Ends)-1]
+	first, newest := held.Crashes[0], held.Crashes[len(held.Crashes)-1]
 	x.d.log.Info("quarantined request refused", "request", x.req.ID, "fingerprint", held.Fingerprint.String(), "team", held.Team, "route", held.Route, "engines", held.Engines(),
 		"since_ms", now.Sub(first.At).Milliseconds(), "newest_ms", now.Sub(newest.At).Milliseconds(), "trial_in_ms", held.TrialAt.Sub(now).Milliseconds())
 	return &Refusal{Reason: x.unlessMayHaveRun(CrashesEngines)}
@@ -46,7 +46,7 @@
 func (x *exchange) recordFailure(ctx context.Context, now time.Time, cause error) {
 	ended := x.engineCrashed(ctx, now, cause)
 	if ended && x.d.quarantine != nil {
-		x.d.quarantine.Ended(clock.Now(), x.fingerprint, quarantine.Subject{Team: x.teamName(), Route: x.route.Name}, x.choice.Engine.ID)
+		x.d.quarantine.RecordCrash(clock.Now(), x.fingerprint, quarantine.Subject{Team: x.teamName(), Route: x.route.Name}, x.choice.Engine.ID)
 	}
 	if !ended && !x.headReceived && ctx.Err() == nil {
 		x.d.observer.Began(now, x.teamName())
@@ -57,13 +57,13 @@
 // count: the engine may have failed before it ran the request.
 func (x *exchange) recordAnswer(now time.Time) {
 	if x.d.quarantine != nil && x.status < http.StatusInternalServerError {
-		x.d.quarantine.Answered(now, x.fingerprint, x.teamName())
+		x.d.quarantine.RecordAnswer(now, x.fingerprint, x.teamName())
 	}
 }
 
 // fingerprintOf returns the fingerprint that identifies equal requests of a team.
 func fingerprintOf(r *Request, team string) quarantine.Fingerprint {
-	return quarantine.FingerprintOf(quarantine.Work{Team: team, Method: r.Method, Host: r.Host, Target: r.Target, Model: r.RequestedModel, Body: r.Body})
+	return quarantine.FingerprintOf(quarantine.FingerprintInput{Team: team, Method: r.Method, Host: r.Host, Target: r.Target, Model: r.RequestedModel, Body: r.Body})
 }
 
 // engineCrashed determines whether an engine that failed has terminated unexpectedly while it ran
