--- a/internal/edge/absence.go
+++ b/internal/edge/absence.go
@@ -22,7 +22,7 @@
 		return
 	}
 	e.proof.Invalidate(now)
-	e.dispatcher.Returned(now)
+	e.dispatcher.Resumed(now)
 	e.egress.ForgetAll()
 	e.absences.Add(1)
 	select {
