--- a/internal/broker/length.go
+++ b/internal/broker/length.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// lengthBuckets is how many buckets a Length has; each is twice as wide as
+	// lengthBuckets is how many buckets a LengthHistogram has; each is twice as wide as
 	// the one before, in quarter steps.
 	lengthBuckets = 64
 
@@ -20,15 +20,15 @@
 	firstGuess = 128
 )
 
-// Length learns how long something is, such as the answers of one class, as a
+// LengthHistogram learns how long something is, such as the answers of one class, as a
 // distribution in which old samples fade. The zero value is ready.
-type Length struct {
+type LengthHistogram struct {
 	weights [lengthBuckets]float64
 	total   float64
 }
 
-// Learn takes the length of a complete answer, in tokens.
-func (l *Length) Learn(tokens int) {
+// Observe takes the length of a complete answer, in tokens.
+func (l *LengthHistogram) Observe(tokens int) {
 	if tokens < 1 {
 		return
 	}
@@ -40,7 +40,7 @@
 }
 
 // Quantile returns the length that a share q of the answers does not exceed.
-func (l *Length) Quantile(q float64) int {
+func (l *LengthHistogram) Quantile(q float64) int {
 	if l.total == 0 {
 		return firstGuess
 	}
@@ -56,7 +56,7 @@
 
 // headroom returns the time to the first token that is seldom exceeded, or 0
 // before any was seen.
-func (l *Length) headroom() time.Duration {
+func (l *LengthHistogram) headroom() time.Duration {
 	if l.total == 0 {
 		return 0
 	}
--- a/internal/broker/pool.go
+++ b/internal/broker/pool.go
@@ -101,8 +101,8 @@
 		limiters map[string]*teamLimiter
 		waiting  map[string]*waiter
 		holds    map[string]*hold
-		lengths  map[string]*Length
-		first    Length // first is the time from dispatch to the first token, in milliseconds.
+		lengths  map[string]*LengthHistogram
+		first    LengthHistogram // first is the time from dispatch to the first token, in milliseconds.
 		prefixes map[string]string
 		use      map[int]*tierUse
 		margin   float64 // margin is how much is kept free for higher tiers, in spreads; 0 for nothing.
@@ -138,7 +138,7 @@
 		name: name, queue: queue.New(0, nil), teams: teams,
 		classes: map[string]queue.Class{}, engines: map[string]*Engine{},
 		limiters: map[string]*teamLimiter{}, waiting: map[string]*waiter{}, holds: map[string]*hold{},
-		lengths: map[string]*Length{}, prefixes: map[string]string{}, missing: map[string]bool{},
+		lengths: map[string]*LengthHistogram{}, prefixes: map[string]string{}, missing: map[string]bool{},
 		use: map[int]*tierUse{}, readyAt: now.Add(rebuildWait), grantsAt: now,
 	}
 	for _, n := range nodes {
@@ -268,17 +268,17 @@
 		e.learn(now, rel.Status, rel.OutputTokens, ms(rel.DurationMs), ms(rel.FirstTokenMs))
 	}
 	if rel.Status == StatusOK {
-		p.length(h.Class).Learn(rel.OutputTokens)
-		p.first.Learn(rel.FirstTokenMs)
+		p.length(h.Class).Observe(rel.OutputTokens)
+		p.first.Observe(rel.FirstTokenMs)
 	}
 	p.dispatch(now)
 }
 
 // length returns the learned lengths of a class.
-func (p *Pool) length(class string) *Length {
+func (p *Pool) length(class string) *LengthHistogram {
 	l := p.lengths[class]
 	if l == nil {
-		l = &Length{}
+		l = &LengthHistogram{}
 		p.lengths[class] = l
 	}
 	return l
@@ -352,8 +352,8 @@
 	p.dispatch(now)
 }
 
-// Move answers all that wait that another node is the broker now.
-func (p *Pool) Move() {
+// RefuseMoved answers all that wait that another node is the broker now.
+func (p *Pool) RefuseMoved() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, it := range p.queue.Drain() {
--- a/internal/broker/service.go
+++ b/internal/broker/service.go
@@ -30,7 +30,7 @@
 	MethodRelease = "rel" // MethodRelease takes a Release.
 	MethodCancel  = "can" // MethodCancel takes an Acquire of which only pool and request count.
 	MethodReport  = "rep" // MethodReport takes a Report.
-	MethodPulse   = "pul" // MethodPulse is answered by a node that takes calls.
+	MethodPing   = "pul" // MethodPing is answered by a node that accepts calls.
 )
 
 type (
@@ -114,7 +114,7 @@
 		}
 		p := s.pools[pool.Name]
 		if p == nil {
-			p = NewPool(now, pool.Name, s.team, Names(s.members.Live()))
+			p = NewPool(now, pool.Name, s.team, MemberNames(s.members.Live()))
 			s.pools[pool.Name] = p
 		}
 		p.Configure(now, Options{QueueLimit: pool.QueueLimit, ReserveMargin: pool.ReserveMargin}, ClassesOf(view), EnginesOf(view, pool.Name))
@@ -154,7 +154,7 @@
 // move gives up a pool; the caller holds the lock.
 func (s *Service) move(pool string) {
 	if p := s.pools[pool]; p != nil {
-		p.Move()
+		p.RefuseMoved()
 		delete(s.pools, pool)
 	}
 }
@@ -281,8 +281,8 @@
 	return true, nil
 }
 
-// Pulse answers, to show that calls get through both ways.
-func (s *Service) Pulse(context.Context, *struct{}) (any, error) { return struct{}{}, nil }
+// Ping answers, to show that calls get through both ways.
+func (s *Service) Ping(context.Context, *struct{}) (any, error) { return struct{}{}, nil }
 
 // Engines returns the engines of this broker's pools.
 func (s *Service) Engines() []wire.Row {
@@ -293,8 +293,8 @@
 	return out
 }
 
-// Names returns the names of members.
-func Names(members []wire.Member) []string {
+// MemberNames returns the names of members.
+func MemberNames(members []wire.Member) []string {
 	out := make([]string, 0, len(members))
 	for _, m := range members {
 		out = append(out, m.Name)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -148,7 +148,7 @@
 	n.server.Handle(broker.MethodRelease, peer.Typed(n.brokers.Release))
 	n.server.Handle(broker.MethodCancel, peer.Typed(n.brokers.Cancel))
 	n.server.Handle(broker.MethodReport, peer.Typed(n.brokers.Report))
-	n.server.Handle(broker.MethodPulse, peer.Typed(n.brokers.Pulse))
+	n.server.Handle(broker.MethodPing, peer.Typed(n.brokers.Ping))
 	n.server.Handle(front.MethodOutcome, peer.Typed(n.front.AnswerOutcome))
 	n.server.Handle(front.MethodRun, peer.Typed(n.front.AnswerRun))
 	n.server.Handle(claim.MethodClaims, peer.Typed(n.claims.AnswerClaims))
--- a/internal/sched/pulse.go
+++ b/internal/sched/pulse.go
@@ -150,7 +150,7 @@
 func (p *pulse) answers(ctx context.Context, owner wire.Member) bool {
 	ctx, cancel := context.WithTimeout(ctx, pulseTimeout)
 	defer cancel()
-	return p.peers.Call(ctx, owner.PeerAddress, broker.MethodPulse, struct{}{}, nil) == nil
+	return p.peers.Call(ctx, owner.PeerAddress, broker.MethodPing, struct{}{}, nil) == nil
 }
 
 // set notes whether a broker answers. A connection that has turned deaf is
--- a/internal/sched/shared.go
+++ b/internal/sched/shared.go
@@ -72,7 +72,7 @@
 		return
 	}
 	self := s.members.Self().Name
-	nodes := broker.Names(s.members.Live())
+	nodes := broker.MemberNames(s.members.Live())
 	var engines []broker.Engine
 	for _, e := range broker.EnginesOf(view, name) {
 		e.Slots = Share(self, e.Name, e.Slots, nodes)
