--- a/internal/broker/grant.go
+++ b/internal/broker/grant.go
@@ -9,7 +9,9 @@
 )
 
 // rebuilding reports whether nodes have still to tell which places they hold.
-func (p *Pool) rebuilding(now time.Time) bool { return len(p.missing) > 0 && now.Before(p.readyAt) }
+func (p *Pool) rebuilding(now time.Time) bool {
+	return len(p.unreported) > 0 && now.Before(p.rebuildDeadline)
+}
 
 // dispatch grants places while there is room and something waits.
 func (p *Pool) dispatch(now time.Time) {
@@ -22,11 +24,11 @@
 			return
 		}
 		w := it.Value.(*waiter)
-		e, free, slots := p.choose(now, w.req, int(it.Cost))
+		e, free, slots := p.selectEngine(now, w.req, int(it.Cost))
 		if e == nil {
 			return
 		}
-		if !p.queue.Owed(it.Class) && p.kept(now, it.Class, free, slots) {
+		if !p.queue.Owed(it.Class) && p.freeSlotsReserved(now, it.Class, free, slots) {
 			return
 		}
 		p.queue.Pop(now)
@@ -34,10 +36,10 @@
 	}
 }
 
-// choose returns the engine with room that is loaded least, counting a cached
+// selectEngine returns the engine with room that is loaded least, counting a cached
 // prefix as less load, and how many places of how many are free in the pool. An
 // engine that failed the request is taken only where there is no other.
-func (p *Pool) choose(now time.Time, req wire.Acquire, tokens int) (best *Engine, free, slots int) {
+func (p *Pool) selectEngine(now time.Time, req wire.Acquire, tokens int) (best *Engine, free, slots int) {
 	least := math.Inf(1)
 	for _, e := range p.order {
 		slots += e.limit()
@@ -71,7 +73,7 @@
 		if e.Draining || e.leaving {
 			continue
 		}
-		if e.failures == 0 || !now.Before(e.pausedTil) {
+		if e.failures == 0 || !now.Before(e.pausedUntil) {
 			return nil // It is full, not ejected.
 		}
 		if e.inFlight == 0 && (best == nil || e.failures < best.failures) {
@@ -81,41 +83,41 @@
 	return best
 }
 
-// endWait counts a request as no longer waiting.
-func (p *Pool) endWait(w *waiter) {
+// removeWaiter counts a request as no longer waiting.
+func (p *Pool) removeWaiter(w *waiter) {
 	delete(p.waiting, w.req.Request)
 	p.limiter(w.req.Team).inUse--
 }
 
 // grant gives a waiting request a place on an engine.
 func (p *Pool) grant(now time.Time, w *waiter, e *Engine) {
-	p.endWait(w)
+	p.removeWaiter(w)
 	waited := now.Sub(w.item.Arrived)
-	p.take(&hold{
+	p.addHold(&hold{
 		Hold: wire.Hold{Request: w.req.Request, Engine: e.Name, Class: w.req.Class, Team: w.req.Team, Tokens: int(w.item.Cost)},
 		node: w.req.Node, since: now,
 	})
 	p.countGrant(now)
-	p.remember(w.req.Prefix, e.Name)
+	p.rememberPrefix(w.req.Prefix, e.Name)
 	why := fmt.Sprintf("waited %d ms; %d of %d in use", waited.Milliseconds(), e.inFlight, e.limit())
 	w.reply <- wire.Grant{Engine: e.Name, Why: why}
 }
 
-// remember notes which engine has a prefix.
-func (p *Pool) remember(prefix, engine string) {
+// rememberPrefix notes which engine has a prefix.
+func (p *Pool) rememberPrefix(prefix, engine string) {
 	if prefix == "" {
 		return
 	}
-	if len(p.prefixes) >= prefixMemory {
+	if len(p.prefixes) >= maxPrefixes {
 		clear(p.prefixes)
 	}
 	p.prefixes[prefix] = engine
 }
 
-// take counts a place as held.
-func (p *Pool) take(h *hold) {
+// addHold counts a place as held.
+func (p *Pool) addHold(h *hold) {
 	p.holds[h.Request] = h
-	p.useOf(h.Class).add(h.since, 1)
+	p.tierUseOf(h.Class).add(h.since, 1)
 	if e := p.engines[h.Engine]; e != nil {
 		e.inFlight++
 		e.tokens += h.Tokens
@@ -123,10 +125,10 @@
 	p.limiter(h.Team).inUse++
 }
 
-// drop counts a place as free.
-func (p *Pool) drop(now time.Time, h *hold) {
+// removeHold counts a place as free.
+func (p *Pool) removeHold(now time.Time, h *hold) {
 	delete(p.holds, h.Request)
-	p.useOf(h.Class).add(now, -1)
+	p.tierUseOf(h.Class).add(now, -1)
 	if e := p.engines[h.Engine]; e != nil {
 		e.inFlight--
 		e.tokens -= h.Tokens
--- a/internal/broker/length.go
+++ b/internal/broker/length.go
@@ -13,11 +13,11 @@
 	// bucketsPerDoubling is how fine the buckets are.
 	bucketsPerDoubling = 4
 
-	// lengthFade is what each new answer leaves of the weight of the old ones.
-	lengthFade = 0.995
+	// lengthDecay is what each new answer leaves of the weight of the old ones.
+	lengthDecay = 0.995
 
-	// firstGuess is the length assumed before any answer was seen, in tokens.
-	firstGuess = 128
+	// defaultLength is the length assumed before any answer was seen, in tokens.
+	defaultLength = 128
 )
 
 // LengthHistogram learns how long something is, such as the answers of one class, as a
@@ -33,25 +33,25 @@
 		return
 	}
 	for i := range l.weights {
-		l.weights[i] *= lengthFade
+		l.weights[i] *= lengthDecay
 	}
 	l.weights[bucketOf(tokens)]++
-	l.total = l.total*lengthFade + 1
+	l.total = l.total*lengthDecay + 1
 }
 
 // Quantile returns the length that a share q of the answers does not exceed.
 func (l *LengthHistogram) Quantile(q float64) int {
 	if l.total == 0 {
-		return firstGuess
+		return defaultLength
 	}
 	sum := 0.0
 	for i, w := range l.weights {
 		sum += w
 		if sum >= q*l.total {
-			return upperEdge(i)
+			return bucketUpperBound(i)
 		}
 	}
-	return upperEdge(lengthBuckets - 1)
+	return bucketUpperBound(lengthBuckets - 1)
 }
 
 // headroom returns the time to the first token that is seldom exceeded, or 0
@@ -69,5 +69,5 @@
 	return min(i, lengthBuckets-1)
 }
 
-// upperEdge returns the greatest length of a bucket.
-func upperEdge(i int) int { return int(math.Exp2(float64(i) / bucketsPerDoubling)) }
+// bucketUpperBound returns the greatest length of a bucket.
+func bucketUpperBound(i int) int { return int(math.Exp2(float64(i) / bucketsPerDoubling)) }
--- a/internal/broker/pool.go
+++ b/internal/broker/pool.go
@@ -39,36 +39,36 @@
 	// headroom which is kept of each class's target.
 	firstTokenQuantile = 0.9
 
-	// reachTime is the part of a target that passes outside the queue and the
+	// networkAllowance is the part of a target that passes outside the queue and the
 	// engine: between caller, node and broker.
-	reachTime = 15 * time.Millisecond
+	networkAllowance = 15 * time.Millisecond
 
-	// rebuildWait bounds how long a new broker waits for the nodes' reports.
-	rebuildWait = 500 * time.Millisecond
+	// rebuildTimeout bounds how long a new broker waits for the nodes' reports.
+	rebuildTimeout = 500 * time.Millisecond
 
-	// rejoinWait is how long after the nodes' reports a new broker still sheds nothing:
+	// shedGracePeriod is how long after the nodes' reports a new broker still sheds nothing:
 	// what waited at the broker before asks again after 50 ms, later on busy nodes. Who
 	// came first would be shed for want of room before lower tiers have asked at all.
-	rejoinWait = 250 * time.Millisecond
+	shedGracePeriod = 250 * time.Millisecond
 
-	// degreeEvery is how often slow engines are looked for.
-	degreeEvery = 500 * time.Millisecond
+	// slowCheckInterval is how often slow engines are looked for.
+	slowCheckInterval = 500 * time.Millisecond
 
 	// rateHalfLife is the time in which the record of grants halves.
 	rateHalfLife = 5 * time.Second
 
-	// leastRate is the drain rate assumed at least, in grants a second.
-	leastRate = 0.5
+	// minDrainRate is the drain rate assumed at least, in grants a second.
+	minDrainRate = 0.5
 
-	// maxComeBack bounds the time that a refused caller is told to wait.
-	maxComeBack = 30 * time.Second
+	// maxRetryAfter bounds the time that a refused caller is told to wait.
+	maxRetryAfter = 30 * time.Second
 
 	// prefixBonus is how much load a cached prefix outweighs, as a share of an
 	// engine's limit.
 	prefixBonus = 0.3
 
-	// prefixMemory bounds how many prefixes a broker remembers.
-	prefixMemory = 8192
+	// maxPrefixes bounds how many prefixes a broker remembers.
+	maxPrefixes = 8192
 )
 
 type (
@@ -91,29 +91,29 @@
 
 	// Pool decides for one pool. Its methods may be called from many goroutines.
 	Pool struct {
-		mu       sync.Mutex
-		name     string
-		queue    *queue.Queue
-		classes  map[string]queue.Class
-		engines  map[string]*Engine
-		order    []*Engine // order holds the engines by name, for equal results every run.
-		teams    Teams
-		limiters map[string]*teamLimiter
-		waiting  map[string]*waiter
-		holds    map[string]*hold
-		lengths  map[string]*LengthHistogram
-		first    LengthHistogram // first is the time from dispatch to the first token, in milliseconds.
-		prefixes map[string]string
-		use      map[int]*tierUse
-		margin   float64 // margin is how much is kept free for higher tiers, in spreads; 0 for nothing.
-
-		missing    map[string]bool // missing are the nodes whose report a new broker waits for.
-		readyAt    time.Time
-		shedsFrom  time.Time // shedsFrom is from when requests are shed; zero before the nodes have reported.
-		degreesAt  time.Time
-		grants     float64 // grants is the decayed count behind the drain rate.
-		grantsAt   time.Time
-		nextReturn time.Time // nextReturn is when the last refused caller was told to come back.
+		mu            sync.Mutex
+		name          string
+		queue         *queue.Queue
+		classes       map[string]queue.Class
+		engines       map[string]*Engine
+		order         []*Engine // order holds the engines by name, for equal results every run.
+		teams         Teams
+		limiters      map[string]*teamLimiter
+		waiting       map[string]*waiter
+		holds         map[string]*hold
+		lengths       map[string]*LengthHistogram
+		firstTokens   LengthHistogram // first is the time from dispatch to the first token, in milliseconds.
+		prefixes      map[string]string
+		tierUses      map[int]*tierUse
+		reserveMargin float64 // margin is how much is kept free for higher tiers, in spreads; 0 for nothing.
+
+		unreported      map[string]bool // missing are the nodes whose report a new broker waits for.
+		rebuildDeadline time.Time
+		shedAfter       time.Time // shedsFrom is from when requests are shed; zero before the nodes have reported.
+		slowCheckedAt   time.Time
+		grants          float64 // grants is the decayed count behind the drain rate.
+		grantsAt        time.Time
+		nextRetryAt     time.Time // nextReturn is when the last refused caller was told to come back.
 	}
 
 	// waiter is a request that waits.
@@ -138,14 +138,14 @@
 		name: name, queue: queue.New(0, nil), teams: teams,
 		classes: map[string]queue.Class{}, engines: map[string]*Engine{},
 		limiters: map[string]*teamLimiter{}, waiting: map[string]*waiter{}, holds: map[string]*hold{},
-		lengths: map[string]*LengthHistogram{}, prefixes: map[string]string{}, missing: map[string]bool{},
-		use: map[int]*tierUse{}, readyAt: now.Add(rebuildWait), grantsAt: now,
+		lengths: map[string]*LengthHistogram{}, prefixes: map[string]string{}, unreported: map[string]bool{},
+		tierUses: map[int]*tierUse{}, rebuildDeadline: now.Add(rebuildTimeout), grantsAt: now,
 	}
 	for _, n := range nodes {
-		p.missing[n] = true
+		p.unreported[n] = true
 	}
 	if len(nodes) == 0 {
-		p.shedsFrom = now
+		p.shedAfter = now
 	}
 	return p
 }
@@ -155,7 +155,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.queue.Configure(opts.QueueLimit, classes)
-	p.margin = opts.ReserveMargin
+	p.reserveMargin = opts.ReserveMargin
 	for _, c := range classes {
 		p.classes[c.Name] = c
 	}
@@ -177,7 +177,7 @@
 
 // newEngine returns an engine with what the nodes hold on it already.
 func (p *Pool) newEngine(name string) *Engine {
-	e := &Engine{degree: 1, slowness: 1}
+	e := &Engine{slotFraction: 1, slowdown: 1}
 	for _, h := range p.holds {
 		if h.Engine == name {
 			e.inFlight++
@@ -216,7 +216,7 @@
 	team := p.teams(req.Team)
 	w.item = &queue.Item{
 		ID: req.Request, Class: req.Class, Team: req.Team, Weight: math.Max(team.Weight, 0.01),
-		Cost: float64(p.tokensOf(req)), Arrived: now.Add(-time.Duration(req.WaitedMs) * time.Millisecond), Value: w,
+		Cost: float64(p.estimateTokens(req)), Arrived: now.Add(-time.Duration(req.WaitedMs) * time.Millisecond), Value: w,
 	}
 	p.waiting[req.Request] = w
 	p.limiter(req.Team).inUse++
@@ -228,10 +228,10 @@
 	return w.reply
 }
 
-// tokensOf returns the room that a request is expected to take on an engine.
-func (p *Pool) tokensOf(req wire.Acquire) int {
+// estimateTokens returns the room that a request is expected to take on an engine.
+func (p *Pool) estimateTokens(req wire.Acquire) int {
 	l := p.lengths[req.Class]
-	output := firstGuess
+	output := defaultLength
 	if l != nil {
 		output = l.Quantile(lengthQuantile)
 	}
@@ -247,10 +247,10 @@
 	defer p.mu.Unlock()
 	if w := p.waiting[request]; w != nil {
 		p.queue.Remove(w.item)
-		p.endWait(w)
+		p.removeWaiter(w)
 	}
 	if h := p.holds[request]; h != nil {
-		p.drop(now, h)
+		p.removeHold(now, h)
 	}
 	p.dispatch(now)
 }
@@ -263,13 +263,13 @@
 	if h == nil {
 		return
 	}
-	p.drop(now, h)
+	p.removeHold(now, h)
 	if e := p.engines[h.Engine]; e != nil {
-		e.learn(now, rel.Status, rel.OutputTokens, ms(rel.DurationMs), ms(rel.FirstTokenMs))
+		e.observe(now, rel.Status, rel.OutputTokens, ms(rel.DurationMs), ms(rel.FirstTokenMs))
 	}
 	if rel.Status == StatusOK {
 		p.length(h.Class).Observe(rel.OutputTokens)
-		p.first.Observe(rel.FirstTokenMs)
+		p.firstTokens.Observe(rel.FirstTokenMs)
 	}
 	p.dispatch(now)
 }
@@ -295,15 +295,15 @@
 	for _, h := range r.Holds {
 		named[h.Request] = true
 		if p.holds[h.Request] == nil {
-			p.take(&hold{Hold: h, node: r.Node, since: now})
+			p.addHold(&hold{Hold: h, node: r.Node, since: now})
 		}
 	}
 	for id, h := range p.holds {
 		if h.node == r.Node && !named[id] && now.Sub(h.since) > lateness {
-			p.drop(now, h)
+			p.removeHold(now, h)
 		}
 	}
-	delete(p.missing, r.Node)
+	delete(p.unreported, r.Node)
 	p.dispatch(now)
 }
 
@@ -312,7 +312,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.holds[h.Request] == nil {
-		p.take(&hold{Hold: h, node: node, since: now})
+		p.addHold(&hold{Hold: h, node: node, since: now})
 	}
 }
 
@@ -322,16 +322,16 @@
 	defer p.mu.Unlock()
 	for _, h := range p.holds {
 		if h.node == node {
-			p.drop(now, h)
+			p.removeHold(now, h)
 		}
 	}
 	for _, w := range p.waiting {
 		if w.req.Node == node {
 			p.queue.Remove(w.item)
-			p.endWait(w)
+			p.removeWaiter(w)
 		}
 	}
-	delete(p.missing, node)
+	delete(p.unreported, node)
 	p.dispatch(now)
 }
 
@@ -344,10 +344,10 @@
 		p.refuseItem(now, it, ReasonMaxWait)
 	}
 	p.shed(now)
-	if now.Sub(p.degreesAt) >= degreeEvery {
-		p.degreesAt = now
-		setDegrees(p.engines)
-		p.queue.SetHeadroom(reachTime + p.first.headroom())
+	if now.Sub(p.slowCheckedAt) >= slowCheckInterval {
+		p.slowCheckedAt = now
+		limitSlowEngines(p.engines)
+		p.queue.SetHeadroom(networkAllowance + p.firstTokens.headroom())
 	}
 	p.dispatch(now)
 }
@@ -358,7 +358,7 @@
 	defer p.mu.Unlock()
 	for _, it := range p.queue.Drain() {
 		w := it.Value.(*waiter)
-		p.endWait(w)
+		p.removeWaiter(w)
 		w.refuse(ReasonMoved, 0, "")
 	}
 }
--- a/internal/broker/refuse.go
+++ b/internal/broker/refuse.go
@@ -12,16 +12,16 @@
 // refuseItem refuses a request that was taken out of the queue.
 func (p *Pool) refuseItem(now time.Time, it *queue.Item, reason string) {
 	w := it.Value.(*waiter)
-	p.endWait(w)
+	p.removeWaiter(w)
 	ahead := p.queue.Ahead(p.classes[it.Class].Tier)
 	why := fmt.Sprintf("%d wait in its tier or higher, %.1f a second get a place", ahead, p.drainRate(now))
-	w.refuse(reason, p.comeBack(now, ahead), why)
+	w.refuse(reason, p.retryAfter(now, ahead), why)
 }
 
 // shed refuses requests while too many wait, once all that waited at the broker before can
 // have asked here.
 func (p *Pool) shed(now time.Time) {
-	if !p.complete(now) {
+	if !p.queueComplete(now) {
 		return
 	}
 	for it := p.queue.Shed(); it != nil; it = p.queue.Shed() {
@@ -29,13 +29,13 @@
 	}
 }
 
-// complete reports whether the requests that wait are all there are, rather than those that
+// queueComplete reports whether the requests that wait are all there are, rather than those that
 // were the first to ask at a new broker.
-func (p *Pool) complete(now time.Time) bool {
-	if p.shedsFrom.IsZero() && !p.rebuilding(now) {
-		p.shedsFrom = now.Add(rejoinWait)
+func (p *Pool) queueComplete(now time.Time) bool {
+	if p.shedAfter.IsZero() && !p.rebuilding(now) {
+		p.shedAfter = now.Add(shedGracePeriod)
 	}
-	return !p.shedsFrom.IsZero() && !now.Before(p.shedsFrom)
+	return !p.shedAfter.IsZero() && !now.Before(p.shedAfter)
 }
 
 // refuse answers a request with a refusal.
@@ -43,19 +43,19 @@
 	w.reply <- wire.Grant{Refusal: reason, RetryAfterMs: int(wait.Milliseconds()), Why: why}
 }
 
-// comeBack returns how long a refused caller should wait: until the queue ahead
+// retryAfter returns how long a refused caller should wait: until the queue ahead
 // has drained, and one after the other at the rate at which it drains, so that
 // those who were refused together do not come back together.
-func (p *Pool) comeBack(now time.Time, ahead int) time.Duration {
+func (p *Pool) retryAfter(now time.Time, ahead int) time.Duration {
 	each := time.Duration(float64(time.Second) / p.drainRate(now))
 	at := now.Add(time.Duration(ahead) * each)
-	if p.nextReturn.After(at) {
-		at = p.nextReturn
+	if p.nextRetryAt.After(at) {
+		at = p.nextRetryAt
 	}
-	p.nextReturn = at.Add(each)
-	if wait := at.Sub(now); wait > maxComeBack {
-		p.nextReturn = now
-		return maxComeBack
+	p.nextRetryAt = at.Add(each)
+	if wait := at.Sub(now); wait > maxRetryAfter {
+		p.nextRetryAt = now
+		return maxRetryAfter
 	}
 	return max(at.Sub(now), each)
 }
@@ -69,5 +69,5 @@
 // drainRate returns how many requests a second get a place.
 func (p *Pool) drainRate(now time.Time) float64 {
 	n := p.grants * math.Exp2(-float64(now.Sub(p.grantsAt))/float64(rateHalfLife))
-	return math.Max(leastRate, n*math.Ln2/rateHalfLife.Seconds())
+	return math.Max(minDrainRate, n*math.Ln2/rateHalfLife.Seconds())
 }
--- a/internal/broker/reserve.go
+++ b/internal/broker/reserve.go
@@ -9,9 +9,9 @@
 	// useHalfLife is the time in which the record of a tier's use halves.
 	useHalfLife = 10 * time.Second
 
-	// reserveMost bounds what is kept free, as a part of a pool's slots: one in
-	// reserveMost.
-	reserveMost = 2
+	// maxReservedDivisor bounds what is kept free, as a part of a pool's slots: one in
+	// maxReservedDivisor.
+	maxReservedDivisor = 2
 )
 
 // tierUse is how many places a tier uses, now and on average over the time that
@@ -23,8 +23,8 @@
 	at     time.Time
 }
 
-// settle brings the average up to a time.
-func (u *tierUse) settle(now time.Time) {
+// updateAverage brings the average up to a time.
+func (u *tierUse) updateAverage(now time.Time) {
 	if u.at.IsZero() {
 		u.at = now
 	}
@@ -38,14 +38,14 @@
 
 // add counts places that were taken, or given back where n is below 0.
 func (u *tierUse) add(now time.Time, n int) {
-	u.settle(now)
+	u.updateAverage(now)
 	u.now += n
 }
 
-// missing returns how many places the tier is likely to want besides those it
+// expectedDemand returns how many places the tier is likely to want besides those it
 // has: up to its average and margin times the spread of a random stream.
-func (u *tierUse) missing(now time.Time, margin float64) float64 {
-	u.settle(now)
+func (u *tierUse) expectedDemand(now time.Time, margin float64) float64 {
+	u.updateAverage(now)
 	if u.weight == 0 {
 		return 0
 	}
@@ -56,32 +56,32 @@
 // reserved returns how many places a request of a tier must leave free for the
 // tiers above it.
 func (p *Pool) reserved(now time.Time, tier, slots int) float64 {
-	if p.margin <= 0 {
+	if p.reserveMargin <= 0 {
 		return 0
 	}
 	sum := 0.0
-	for t, u := range p.use {
+	for t, u := range p.tierUses {
 		if t < tier {
-			sum += u.missing(now, p.margin)
+			sum += u.expectedDemand(now, p.reserveMargin)
 		}
 	}
-	return math.Min(sum, float64(slots/reserveMost))
+	return math.Min(sum, float64(slots/maxReservedDivisor))
 }
 
-// kept reports whether all places that are free are kept for tiers above a
+// freeSlotsReserved reports whether all places that are free are freeSlotsReserved for tiers above a
 // class.
-func (p *Pool) kept(now time.Time, class string, free, slots int) bool {
+func (p *Pool) freeSlotsReserved(now time.Time, class string, free, slots int) bool {
 	reserved := p.reserved(now, p.classes[class].Tier, slots)
 	return reserved > 0 && float64(free) <= reserved
 }
 
-// useOf returns the use of a class's tier.
-func (p *Pool) useOf(class string) *tierUse {
+// tierUseOf returns the use of a class's tier.
+func (p *Pool) tierUseOf(class string) *tierUse {
 	tier := p.classes[class].Tier
-	u := p.use[tier]
+	u := p.tierUses[tier]
 	if u == nil {
 		u = &tierUse{}
-		p.use[tier] = u
+		p.tierUses[tier] = u
 	}
 	return u
 }
--- a/internal/broker/rows.go
+++ b/internal/broker/rows.go
@@ -33,10 +33,10 @@
 			row.State = "draining"
 		case e.failures > 0:
 			row.State = "failed"
-		case e.degree < 1:
+		case e.slotFraction < 1:
 			row.State = "slow"
 		}
-		row.Reason = fmt.Sprintf("limit %d, %d tokens, %.1f ms a token", e.limit(), e.tokens, float64(e.pace.Microseconds())/1000)
+		row.Reason = fmt.Sprintf("limit %d, %d tokens, %.1f ms a token", e.limit(), e.tokens, float64(e.timePerToken.Microseconds())/1000)
 		out = append(out, row)
 	}
 	return out
--- a/internal/broker/service.go
+++ b/internal/broker/service.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// sweepEvery is how often waiting requests are looked over.
-	sweepEvery = 20 * time.Millisecond
+	// sweepInterval is how often waiting requests are looked over.
+	sweepInterval = 20 * time.Millisecond
 
-	// standstill is how long after the last sweep a broker's queue counts for nothing: the
+	// stallThreshold is how long after the last sweep a broker's queue counts for nothing: the
 	// process stood still, and others may have taken another node for the broker meanwhile, where
 	// those that wait here have asked again. It is below the time after which nodes that are
 	// silent are taken for dead.
-	standstill = time.Second
+	stallThreshold = time.Second
 )
 
 // Methods that nodes call at a broker.
@@ -30,7 +30,7 @@
 	MethodRelease = "rel" // MethodRelease takes a Release.
 	MethodCancel  = "can" // MethodCancel takes an Acquire of which only pool and request count.
 	MethodReport  = "rep" // MethodReport takes a Report.
-	MethodPing   = "pul" // MethodPing is answered by a node that accepts calls.
+	MethodPing    = "pul" // MethodPing is answered by a node that accepts calls.
 )
 
 type (
@@ -57,10 +57,10 @@
 		loads   Loads
 		tracer  trace.Tracer
 
-		mu    sync.Mutex
-		swept time.Time // swept is when the pools were last swept.
-		pools map[string]*Pool
-		live  map[string]bool
+		mu        sync.Mutex
+		lastSweep time.Time // swept is when the pools were last swept.
+		pools     map[string]*Pool
+		live      map[string]bool
 	}
 )
 
@@ -75,15 +75,15 @@
 // Run follows members and configuration, and sweeps the pools, until the
 // context ends; then it moves all that wait.
 func (s *Service) Run(ctx context.Context) {
-	tick := time.NewTicker(sweepEvery)
+	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	for {
 		members, config := s.members.Changed(), s.store.Changed()
-		s.follow(clock.Now())
+		s.reconcile(clock.Now())
 		for settled := true; settled; {
 			select {
 			case <-ctx.Done():
-				s.moveAll()
+				s.closeAllPools()
 				return
 			case <-members:
 				settled = false
@@ -96,20 +96,20 @@
 	}
 }
 
-// follow brings the pools into line with members and configuration.
-func (s *Service) follow(now time.Time) {
+// reconcile brings the pools into line with members and configuration.
+func (s *Service) reconcile(now time.Time) {
 	view := s.store.View()
 	if view == nil {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.dropGone(now)
+	s.removeDeadNodes(now)
 	var watched []*config.Engine
 	for i := range view.Config.Pools {
 		pool := &view.Config.Pools[i]
 		if !s.Owns(pool.Name) {
-			s.move(pool.Name)
+			s.closePool(pool.Name)
 			continue
 		}
 		p := s.pools[pool.Name]
@@ -122,14 +122,14 @@
 	}
 	for name := range s.pools {
 		if view.Pool(name) == nil {
-			s.move(name)
+			s.closePool(name)
 		}
 	}
 	s.loads.Watch(watched)
 }
 
-// dropGone tells the pools which nodes are no longer live.
-func (s *Service) dropGone(now time.Time) {
+// removeDeadNodes tells the pools which nodes are no longer live.
+func (s *Service) removeDeadNodes(now time.Time) {
 	live := map[string]bool{}
 	for _, m := range s.members.Live() {
 		live[m.Name] = true
@@ -151,20 +151,20 @@
 	return ok && owner.Name == s.members.Self().Name
 }
 
-// move gives up a pool; the caller holds the lock.
-func (s *Service) move(pool string) {
+// closePool gives up a pool; the caller holds the lock.
+func (s *Service) closePool(pool string) {
 	if p := s.pools[pool]; p != nil {
 		p.RefuseMoved()
 		delete(s.pools, pool)
 	}
 }
 
-// moveAll gives up all pools.
-func (s *Service) moveAll() {
+// closeAllPools gives up all pools.
+func (s *Service) closeAllPools() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for name := range s.pools {
-		s.move(name)
+		s.closePool(name)
 	}
 }
 
@@ -172,27 +172,27 @@
 // and they are begun anew, from what the nodes report.
 func (s *Service) tick(now time.Time) bool {
 	s.mu.Lock()
-	stood := s.stoodStill(now)
-	s.swept = now
+	stood := s.stalled(now)
+	s.lastSweep = now
 	s.mu.Unlock()
 	if stood {
-		s.moveAll()
+		s.closeAllPools()
 		return false
 	}
 	s.sweep(now)
 	return true
 }
 
-// stoodStill reports whether this process stood still since the last sweep; the caller
+// stalled reports whether this process stood still since the last sweep; the caller
 // holds the lock.
-func (s *Service) stoodStill(now time.Time) bool {
-	return !s.swept.IsZero() && now.Sub(s.swept) > standstill
+func (s *Service) stalled(now time.Time) bool {
+	return !s.lastSweep.IsZero() && now.Sub(s.lastSweep) > stallThreshold
 }
 
 // sweep sweeps all pools.
 func (s *Service) sweep(now time.Time) {
 	view := s.store.View()
-	for name, p := range s.all() {
+	for name, p := range s.poolsByName() {
 		for _, e := range view.Engines(name) {
 			p.SetLeaving(now, e.Name, s.loads.Leaving(e.Name))
 		}
@@ -200,8 +200,8 @@
 	}
 }
 
-// all returns the pools by name.
-func (s *Service) all() map[string]*Pool {
+// poolsByName returns the pools by name.
+func (s *Service) poolsByName() map[string]*Pool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make(map[string]*Pool, len(s.pools))
@@ -216,7 +216,7 @@
 func (s *Service) pool(now time.Time, name string) *Pool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.stoodStill(now) {
+	if s.stalled(now) {
 		return nil
 	}
 	return s.pools[name]
@@ -287,7 +287,7 @@
 // Engines returns the engines of this broker's pools.
 func (s *Service) Engines() []wire.Row {
 	var out []wire.Row
-	for _, p := range s.all() {
+	for _, p := range s.poolsByName() {
 		out = append(out, p.Engines()...)
 	}
 	return out
--- a/internal/broker/service_test.go
+++ b/internal/broker/service_test.go
@@ -24,7 +24,7 @@
 	s := &Service{store: store, pools: map[string]*Pool{"llm": p}}
 	s.tick(now)
 	waits := p.Acquire(now, wire.Acquire{Pool: "llm", Request: "a", Node: "n1", Class: "explain", Team: "x"})
-	if now = now.Add(standstill); s.pool(now, "llm") != p {
+	if now = now.Add(stallThreshold); s.pool(now, "llm") != p {
 		t.Fatal("a broker that was slow gives up its queue")
 	}
 	now = now.Add(2 * time.Second)
@@ -42,7 +42,7 @@
 	default:
 		t.Error("what waited is not answered")
 	}
-	if !s.tick(now.Add(sweepEvery)) {
+	if !s.tick(now.Add(sweepInterval)) {
 		t.Error("it does not go on afterwards")
 	}
 }
