--- a/internal/broker/engine.go
+++ b/internal/broker/engine.go
@@ -6,48 +6,48 @@
 )
 
 const (
-	// timePerTokenWeight is the weight of a new measurement of an engine's pace.
+	// timePerTokenWeight is the weight of a new sample in the moving average.
 	timePerTokenWeight = 0.2
 
-	// slowFactor is how many times the median pace an engine may take before it
-	// gets less work.
+	// slowFactor is how many times the median time per token an engine may take
+	// before it gets fewer requests.
 	slowFactor = 2.0
 
-	// fullPause is how long an engine that refused as full gets nothing.
+	// fullPause is how long an engine that reported itself full gets no requests.
 	fullPause = 100 * time.Millisecond
 
-	// downPause is how long an engine that failed gets nothing, the first time;
-	// it doubles with each failure in a row, up to downPauseMax.
+	// downPause is how long an engine gets no requests after its first failure;
+	// it doubles with each consecutive failure, up to downPauseMax.
 	downPause    = 500 * time.Millisecond
 	downPauseMax = 10 * time.Second
 )
 
-// Engine is one engine as its pool's broker sees it.
+// Engine is the broker's state of one engine.
 type Engine struct {
 	Name     string
-	Slots    int  // Slots is how many requests it may have at once.
-	KVTokens int  // KVTokens is its room for tokens; 0 for unknown.
-	Draining bool // Draining says that it gets no new work.
+	Slots    int  // Slots is the number of concurrent requests it may run.
+	KVTokens int  // KVTokens is its KV cache capacity in tokens; 0 if unknown.
+	Draining bool // Draining means that it gets no new requests.
 
 	inFlight     int
-	tokens       int           // tokens that those in flight are expected to occupy.
-	timePerToken time.Duration // pace is the time for one token, from what completed.
-	slotFraction float64       // degree is the part of its slots that it gets, from 0 to 1.
-	slowdown     float64       // slowness is its pace over the median of its pool, 1 at least.
-	failures     int           // failures in a row.
+	tokens       int           // tokens that the requests in flight are expected to occupy.
+	timePerToken time.Duration // timePerToken is a moving average over completed requests.
+	slotFraction float64       // slotFraction is the fraction of its slots that the broker may fill, from 0 to 1.
+	slowdown     float64       // slowdown is its time per token over the pool's median, at least 1.
+	failures     int           // failures is the number of consecutive failures.
 	pausedUntil  time.Time
-	leaving      bool // leaving is what its own load report says.
+	leaving      bool // leaving is taken from the engine's own load report.
 }
 
-// limit returns how many requests an engine may have at once now.
+// limit returns how many concurrent requests the engine may have now.
 func (e *Engine) limit() int {
 	if e.failures > 0 {
-		return 1 // An engine that failed is tried with one request.
+		return 1 // Probe a failed engine with a single request.
 	}
 	return max(1, int(float64(e.Slots)*e.slotFraction+0.5))
 }
 
-// hasRoom reports whether an engine may take one more request of a size.
+// hasRoom reports whether the engine can take one more request of a size.
 func (e *Engine) hasRoom(now time.Time, tokens int) bool {
 	switch {
 	case e.Draining || e.leaving || now.Before(e.pausedUntil):
@@ -60,11 +60,11 @@
 	return true
 }
 
-// load orders engines: the share of its limit in use after one more request,
-// and more for one that is slow.
+// load ranks engines: the share of the limit in use after one more request,
+// scaled up for slow engines.
 func (e *Engine) load() float64 { return e.slowdown * float64(e.inFlight+1) / float64(e.limit()) }
 
-// observe takes what a request showed of the engine.
+// observe updates the engine's state from the result of a request.
 func (e *Engine) observe(now time.Time, status string, outputTokens int, duration, firstToken time.Duration) {
 	switch status {
 	case StatusOK:
@@ -81,7 +81,7 @@
 	}
 }
 
-// observeTimePerToken takes one measurement of the time for a token.
+// observeTimePerToken adds a sample to the average time per token.
 func (e *Engine) observeTimePerToken(pace time.Duration) {
 	if e.timePerToken == 0 {
 		e.timePerToken = pace
@@ -90,9 +90,9 @@
 	e.timePerToken += time.Duration(timePerTokenWeight * float64(pace-e.timePerToken))
 }
 
-// limitSlowEngines gives slow engines less work: an engine at f times the median pace
-// gets slowFactor/f of its slots. Half of the engines are never slower than the
-// median, so that at least half keep all their slots.
+// limitSlowEngines gives slow engines fewer requests: an engine at f times the
+// median time per token gets slowFactor/f of its slots. Half of the engines are
+// never slower than the median, so at least half keep all their slots.
 func limitSlowEngines(engines map[string]*Engine) {
 	var paces []time.Duration
 	for _, e := range engines {
--- a/internal/broker/grant.go
+++ b/internal/broker/grant.go
@@ -8,12 +8,12 @@
 	"github.com/croftturn/croftturn/internal/wire"
 )
 
-// rebuilding reports whether nodes have still to tell which places they hold.
+// rebuilding reports whether the broker still waits for nodes to report the slots they hold.
 func (p *Pool) rebuilding(now time.Time) bool {
 	return len(p.unreported) > 0 && now.Before(p.rebuildDeadline)
 }
 
-// dispatch grants places while there is room and something waits.
+// dispatch grants slots to waiting requests while engines have room.
 func (p *Pool) dispatch(now time.Time) {
 	if p.rebuilding(now) {
 		return
@@ -36,9 +36,9 @@
 	}
 }
 
-// selectEngine returns the engine with room that is loaded least, counting a cached
-// prefix as less load, and how many places of how many are free in the pool. An
-// engine that failed the request is taken only where there is no other.
+// selectEngine returns the least loaded engine with room, counting a cached
+// prefix as less load, and the pool's free and total slots. An engine that
+// failed the request before is selected only if there is no other.
 func (p *Pool) selectEngine(now time.Time, req wire.Acquire, tokens int) (best *Engine, free, slots int) {
 	least := math.Inf(1)
 	for _, e := range p.order {
@@ -64,9 +64,9 @@
 	return best, free, slots
 }
 
-// lastResort returns an engine to try where failures have paused all of a pool:
-// never are all engines ejected at once. The one that failed least gets one
-// request.
+// lastResort returns an engine to try when failures have paused the whole pool,
+// so that never all engines are ejected at once. The one with the fewest
+// consecutive failures gets one request.
 func (p *Pool) lastResort(now time.Time) *Engine {
 	var best *Engine
 	for _, e := range p.order {
@@ -74,7 +74,7 @@
 			continue
 		}
 		if e.failures == 0 || !now.Before(e.pausedUntil) {
-			return nil // It is full, not ejected.
+			return nil // The engine is full, not ejected.
 		}
 		if e.inFlight == 0 && (best == nil || e.failures < best.failures) {
 			best = e
@@ -83,13 +83,13 @@
 	return best
 }
 
-// removeWaiter counts a request as no longer waiting.
+// removeWaiter removes a request from the waiting ones and its team's count.
 func (p *Pool) removeWaiter(w *waiter) {
 	delete(p.waiting, w.req.Request)
 	p.limiter(w.req.Team).inUse--
 }
 
-// grant gives a waiting request a place on an engine.
+// grant gives a waiting request a slot on an engine.
 func (p *Pool) grant(now time.Time, w *waiter, e *Engine) {
 	p.removeWaiter(w)
 	waited := now.Sub(w.item.Arrived)
@@ -103,7 +103,7 @@
 	w.reply <- wire.Grant{Engine: e.Name, Why: why}
 }
 
-// rememberPrefix notes which engine has a prefix.
+// rememberPrefix records which engine was last given a prefix.
 func (p *Pool) rememberPrefix(prefix, engine string) {
 	if prefix == "" {
 		return
@@ -114,7 +114,7 @@
 	p.prefixes[prefix] = engine
 }
 
-// addHold counts a place as held.
+// addHold counts a slot as held.
 func (p *Pool) addHold(h *hold) {
 	p.holds[h.Request] = h
 	p.tierUseOf(h.Class).add(h.since, 1)
@@ -125,7 +125,7 @@
 	p.limiter(h.Team).inUse++
 }
 
-// removeHold counts a place as free.
+// removeHold counts a slot as free.
 func (p *Pool) removeHold(now time.Time, h *hold) {
 	delete(p.holds, h.Request)
 	p.tierUseOf(h.Class).add(now, -1)
--- a/internal/broker/length.go
+++ b/internal/broker/length.go
@@ -6,28 +6,28 @@
 )
 
 const (
-	// lengthBuckets is how many buckets a LengthHistogram has; each is twice as wide as
-	// the one before, in quarter steps.
+	// lengthBuckets is the number of buckets of a LengthHistogram, which are
+	// spaced exponentially.
 	lengthBuckets = 64
 
-	// bucketsPerDoubling is how fine the buckets are.
+	// bucketsPerDoubling is the number of buckets in which the bound doubles.
 	bucketsPerDoubling = 4
 
-	// lengthDecay is what each new answer leaves of the weight of the old ones.
+	// lengthDecay is the factor by which each new sample reduces the weight of older ones.
 	lengthDecay = 0.995
 
-	// defaultLength is the length assumed before any answer was seen, in tokens.
+	// defaultLength is the length assumed before the first sample, in tokens.
 	defaultLength = 128
 )
 
-// LengthHistogram learns how long something is, such as the answers of one class, as a
-// distribution in which old samples fade. The zero value is ready.
+// LengthHistogram is a histogram with exponential decay of lengths, such as the
+// answers of one class. The zero value is ready for use.
 type LengthHistogram struct {
 	weights [lengthBuckets]float64
 	total   float64
 }
 
-// Observe takes the length of a complete answer, in tokens.
+// Observe adds a sample, such as the length of a complete answer in tokens.
 func (l *LengthHistogram) Observe(tokens int) {
 	if tokens < 1 {
 		return
@@ -39,7 +39,7 @@
 	l.total = l.total*lengthDecay + 1
 }
 
-// Quantile returns the length that a share q of the answers does not exceed.
+// Quantile returns the length that a share q of the samples does not exceed.
 func (l *LengthHistogram) Quantile(q float64) int {
 	if l.total == 0 {
 		return defaultLength
@@ -54,8 +54,8 @@
 	return bucketUpperBound(lengthBuckets - 1)
 }
 
-// headroom returns the time to the first token that is seldom exceeded, or 0
-// before any was seen.
+// headroom returns the firstTokenQuantile of the samples, taken as milliseconds
+// to the first token, or 0 before the first sample.
 func (l *LengthHistogram) headroom() time.Duration {
 	if l.total == 0 {
 		return 0
@@ -63,11 +63,11 @@
 	return time.Duration(l.Quantile(firstTokenQuantile)) * time.Millisecond
 }
 
-// bucketOf returns the bucket that a length falls into.
+// bucketOf returns the index of the bucket for a length.
 func bucketOf(tokens int) int {
 	i := int(math.Ceil(math.Log2(float64(tokens)) * bucketsPerDoubling))
 	return min(i, lengthBuckets-1)
 }
 
-// bucketUpperBound returns the greatest length of a bucket.
+// bucketUpperBound returns the greatest length that falls into a bucket.
 func bucketUpperBound(i int) int { return int(math.Exp2(float64(i) / bucketsPerDoubling)) }
--- a/internal/broker/limiter.go
+++ b/internal/broker/limiter.go
@@ -8,15 +8,15 @@
 )
 
 type (
-	// teamLimiter counts what one team uses.
+	// teamLimiter tracks one team's usage against its limits.
 	teamLimiter struct {
 		rate  *rate.Limiter
-		inUse int // inUse counts the team's requests that wait or are on engines.
+		inUse int // inUse counts the team's requests that wait or run on engines.
 	}
 )
 
-// overLimit takes one request from the team's limits, or returns which limit is
-// used up and when to come back.
+// overLimit charges one request to the team's limits, or returns the exhausted
+// limit and when to retry.
 func (p *Pool) overLimit(now time.Time, req wire.Acquire) (string, time.Duration) {
 	team := p.teams(req.Team)
 	l := p.limiter(req.Team)
@@ -25,7 +25,7 @@
 	}
 	l.set(now, team)
 	if req.WaitedMs > 0 {
-		return "", 0 // It was counted when it first asked.
+		return "", 0 // It was charged when it first asked.
 	}
 	r := l.rate.ReserveN(now, 1)
 	if wait := r.DelayFrom(now); wait > 0 {
@@ -35,7 +35,7 @@
 	return "", 0
 }
 
-// limiter returns the counts of a team.
+// limiter returns the limiter of a team, creating it if needed.
 func (p *Pool) limiter(team string) *teamLimiter {
 	l := p.limiters[team]
 	if l == nil {
@@ -45,7 +45,7 @@
 	return l
 }
 
-// set brings a limiter to a team's configured rate.
+// set applies a team's configured rate and burst.
 func (l *teamLimiter) set(now time.Time, team Team) {
 	limit, burst := rate.Inf, 1
 	if team.Rate > 0 {
--- a/internal/broker/pool.go
+++ b/internal/broker/pool.go
@@ -1,6 +1,7 @@
-// Package broker decides for a pool which request goes to which engine, what
-// waits and what is refused. One node at a time is the broker of a pool; what
-// it knows is rebuilt from what the nodes hold and wait for when it changes.
+// Package broker schedules the requests of a pool: it decides which engine gets
+// a request, which requests wait and which are refused. One node at a time is
+// the broker of a pool; when the broker changes, the new one rebuilds its state
+// from the slots that nodes hold and the requests that wait at them.
 package broker
 
 import (
@@ -15,52 +16,52 @@
 
 // Refusal reasons, as callers and operators see them.
 const (
-	ReasonQueueFull    = "queue_full"     // ReasonQueueFull: too many of its tier or higher wait.
+	ReasonQueueFull    = "queue_full"     // ReasonQueueFull: too many requests of its tier or higher wait.
 	ReasonMaxWait      = "max_wait"       // ReasonMaxWait: it waited as long as its class allows.
-	ReasonTeamRate     = "team_rate"      // ReasonTeamRate: the team's requests_per_second is used up.
-	ReasonTeamInFlight = "team_in_flight" // ReasonTeamInFlight: the team's in_flight is used up.
-	ReasonMoved        = "moved"          // ReasonMoved: another node is the broker now; nodes ask there.
-	ReasonDuplicate    = "duplicate"      // ReasonDuplicate: the same request id waits or runs already.
+	ReasonTeamRate     = "team_rate"      // ReasonTeamRate: the team's requests_per_second is exhausted.
+	ReasonTeamInFlight = "team_in_flight" // ReasonTeamInFlight: the team's in_flight limit is reached.
+	ReasonMoved        = "moved"          // ReasonMoved: this node is no longer the broker; nodes ask the current one.
+	ReasonDuplicate    = "duplicate"      // ReasonDuplicate: a request with the same id waits or runs already.
 )
 
 // Statuses of a release.
 const (
 	StatusOK        = "ok"        // StatusOK: the answer was complete.
-	StatusFull      = "full"      // StatusFull: the engine refused, the request did not run.
+	StatusFull      = "full"      // StatusFull: the engine was full and refused; the request did not run.
 	StatusFailed    = "failed"    // StatusFailed: the engine failed or stalled.
-	StatusCancelled = "cancelled" // StatusCancelled: the caller had gone, or the grant was not used.
+	StatusCancelled = "cancelled" // StatusCancelled: the caller disconnected, or the grant was not used.
 )
 
 const (
-	// lengthQuantile is the share of answers that the room kept for one covers.
+	// lengthQuantile is the share of answers that fit the token space reserved for one.
 	lengthQuantile = 0.8
 
-	// firstTokenQuantile is the share of first tokens that come within the
-	// headroom which is kept of each class's target.
+	// firstTokenQuantile is the share of first tokens that arrive within the
+	// headroom subtracted from each class's target.
 	firstTokenQuantile = 0.9
 
-	// networkAllowance is the part of a target that passes outside the queue and the
-	// engine: between caller, node and broker.
+	// networkAllowance is the part of a target spent outside the queue and the
+	// engine, between caller, node and broker.
 	networkAllowance = 15 * time.Millisecond
 
 	// rebuildTimeout bounds how long a new broker waits for the nodes' reports.
 	rebuildTimeout = 500 * time.Millisecond
 
-	// shedGracePeriod is how long after the nodes' reports a new broker still sheds nothing:
-	// what waited at the broker before asks again after 50 ms, later on busy nodes. Who
-	// came first would be shed for want of room before lower tiers have asked at all.
+	// shedGracePeriod is how long after the nodes' reports a new broker sheds nothing:
+	// requests that waited at the previous broker ask again after 50 ms, later on busy
+	// nodes. Without it, early requests would be shed before lower tiers have asked at all.
 	shedGracePeriod = 250 * time.Millisecond
 
-	// slowCheckInterval is how often slow engines are looked for.
+	// slowCheckInterval is how often the broker looks for slow engines.
 	slowCheckInterval = 500 * time.Millisecond
 
-	// rateHalfLife is the time in which the record of grants halves.
+	// rateHalfLife is the half-life of the grant count behind the drain rate.
 	rateHalfLife = 5 * time.Second
 
-	// minDrainRate is the drain rate assumed at least, in grants a second.
+	// minDrainRate is the lowest drain rate assumed, in grants a second.
 	minDrainRate = 0.5
 
-	// maxRetryAfter bounds the time that a refused caller is told to wait.
+	// maxRetryAfter is the longest time that a refused caller is told to wait.
 	maxRetryAfter = 30 * time.Second
 
 	// prefixBonus is how much load a cached prefix outweighs, as a share of an
@@ -77,53 +78,53 @@
 		Weight   float64
 		Rate     float64 // Rate is requests a second; 0 for no limit.
 		Burst    int
-		InFlight int // InFlight limits requests that wait or are on engines; 0 for no limit.
+		InFlight int // InFlight limits requests that wait or run on engines; 0 for no limit.
 	}
 
-	// Options are a pool's own settings.
+	// Options are the settings of a pool.
 	Options struct {
-		QueueLimit    int     // QueueLimit is how many requests may wait.
-		ReserveMargin float64 // ReserveMargin weighs attainment of higher tiers against goodput; 0 keeps nothing free.
+		QueueLimit    int     // QueueLimit is the maximum number of waiting requests.
+		ReserveMargin float64 // ReserveMargin weighs attainment of higher tiers against goodput; 0 reserves nothing.
 	}
 
 	// Teams looks up a team's limits.
 	Teams func(name string) Team
 
-	// Pool decides for one pool. Its methods may be called from many goroutines.
+	// Pool is the broker's state of one pool. It is safe for concurrent use.
 	Pool struct {
 		mu            sync.Mutex
 		name          string
 		queue         *queue.Queue
 		classes       map[string]queue.Class
 		engines       map[string]*Engine
-		order         []*Engine // order holds the engines by name, for equal results every run.
+		order         []*Engine // order holds the engines sorted by name, for deterministic results.
 		teams         Teams
 		limiters      map[string]*teamLimiter
 		waiting       map[string]*waiter
 		holds         map[string]*hold
 		lengths       map[string]*LengthHistogram
-		firstTokens   LengthHistogram // first is the time from dispatch to the first token, in milliseconds.
+		firstTokens   LengthHistogram // firstTokens is the time from dispatch to the first token, in milliseconds.
 		prefixes      map[string]string
 		tierUses      map[int]*tierUse
-		reserveMargin float64 // margin is how much is kept free for higher tiers, in spreads; 0 for nothing.
+		reserveMargin float64 // reserveMargin is Options.ReserveMargin, in standard deviations of a tier's use.
 
-		unreported      map[string]bool // missing are the nodes whose report a new broker waits for.
+		unreported      map[string]bool // unreported holds the nodes whose report a new broker waits for.
 		rebuildDeadline time.Time
-		shedAfter       time.Time // shedsFrom is from when requests are shed; zero before the nodes have reported.
+		shedAfter       time.Time // shedAfter is when shedding starts; zero before the nodes have reported.
 		slowCheckedAt   time.Time
 		grants          float64 // grants is the decayed count behind the drain rate.
 		grantsAt        time.Time
-		nextRetryAt     time.Time // nextReturn is when the last refused caller was told to come back.
+		nextRetryAt     time.Time // nextRetryAt is the earliest retry time for the next refused caller.
 	}
 
-	// waiter is a request that waits.
+	// waiter is a waiting request.
 	waiter struct {
 		req   wire.Acquire
 		item  *queue.Item
 		reply chan wire.Grant
 	}
 
-	// hold is a place that a node holds on an engine.
+	// hold is a slot that a node holds on an engine.
 	hold struct {
 		wire.Hold
 		node  string
@@ -131,8 +132,8 @@
 	}
 )
 
-// NewPool returns the broker's state of a pool. It grants nothing before the
-// nodes have reported what they hold, or rebuildWait has passed.
+// NewPool returns the broker's state of a pool. It grants nothing until the
+// nodes have reported the slots they hold, or rebuildTimeout has passed.
 func NewPool(now time.Time, name string, teams Teams, nodes []string) *Pool {
 	p := &Pool{
 		name: name, queue: queue.New(0, nil), teams: teams,
@@ -150,7 +151,7 @@
 	return p
 }
 
-// Configure takes the pool's part of a configuration.
+// Configure applies the pool's part of a configuration.
 func (p *Pool) Configure(now time.Time, opts Options, classes []queue.Class, engines []Engine) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -175,7 +176,7 @@
 	p.dispatch(now)
 }
 
-// newEngine returns an engine with what the nodes hold on it already.
+// newEngine returns an engine that counts the slots that nodes hold on it already.
 func (p *Pool) newEngine(name string) *Engine {
 	e := &Engine{slotFraction: 1, slowdown: 1}
 	for _, h := range p.holds {
@@ -187,7 +188,7 @@
 	return e
 }
 
-// SetLeaving takes what an engine's own load report says of its leaving.
+// SetLeaving records whether an engine's load report says that it is leaving.
 func (p *Pool) SetLeaving(now time.Time, engine string, leaving bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -199,8 +200,8 @@
 	p.dispatch(now)
 }
 
-// Acquire asks for a place. The answer comes on the channel, which takes one
-// value; Cancel gives up the wait.
+// Acquire asks for a slot. The answer is sent on the returned channel, which is
+// buffered for one value; Cancel gives up the wait.
 func (p *Pool) Acquire(now time.Time, req wire.Acquire) <-chan wire.Grant {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -228,7 +229,7 @@
 	return w.reply
 }
 
-// estimateTokens returns the room that a request is expected to take on an engine.
+// estimateTokens returns how many tokens a request is expected to occupy on an engine.
 func (p *Pool) estimateTokens(req wire.Acquire) int {
 	l := p.lengths[req.Class]
 	output := defaultLength
@@ -241,7 +242,7 @@
 	return req.PromptTokens + output
 }
 
-// Cancel gives up a wait. A place that was granted meanwhile is given back.
+// Cancel gives up a wait. A slot that was granted meanwhile is given back.
 func (p *Pool) Cancel(now time.Time, request string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -255,7 +256,7 @@
 	p.dispatch(now)
 }
 
-// Release gives a place back and takes what was learned.
+// Release gives a slot back and records the result of the request.
 func (p *Pool) Release(now time.Time, rel wire.Release) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -274,7 +275,7 @@
 	p.dispatch(now)
 }
 
-// length returns the learned lengths of a class.
+// length returns the histogram of answer lengths of a class, creating it if needed.
 func (p *Pool) length(class string) *LengthHistogram {
 	l := p.lengths[class]
 	if l == nil {
@@ -284,9 +285,9 @@
 	return l
 }
 
-// Report takes what a node holds: places it holds and the broker does not know
-// are added, and places that the broker thinks it holds are dropped once they
-// are older than the report can be late.
+// Report reconciles the holds with a node's report: slots unknown to the broker
+// are added, and slots missing from the report are removed once they are older
+// than the maximum delay of a report.
 func (p *Pool) Report(now time.Time, r wire.Report) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -307,7 +308,7 @@
 	p.dispatch(now)
 }
 
-// Adopt counts a place that a node got elsewhere.
+// Adopt counts a slot that was granted to a node by another broker.
 func (p *Pool) Adopt(now time.Time, node string, h wire.Hold) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -316,7 +317,7 @@
 	}
 }
 
-// NodeGone drops what a dead node held and waited for.
+// NodeGone removes the holds and waiting requests of a dead node.
 func (p *Pool) NodeGone(now time.Time, node string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -335,8 +336,8 @@
 	p.dispatch(now)
 }
 
-// Sweep refuses what has waited too long, looks for slow engines and grants
-// what has become possible with time.
+// Sweep refuses requests that have waited too long, looks for slow engines and
+// grants slots that have become available with time.
 func (p *Pool) Sweep(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -363,5 +364,5 @@
 	}
 }
 
-// ms turns milliseconds of a message into a duration.
+// ms converts a message's milliseconds to a duration.
 func ms(n int) time.Duration { return time.Duration(n) * time.Millisecond }
--- a/internal/broker/pool_test.go
+++ b/internal/broker/pool_test.go
@@ -18,7 +18,7 @@
 	}
 )
 
-// pool returns a pool without nodes to wait for, with engines of some slots.
+// pool returns a pool that waits for no reports, with engines of the given slots.
 func pool(t testing.TB, queueLimit, engines, slots int, team broker.Team) *broker.Pool {
 	t.Helper()
 	p := broker.NewPool(start, "llm", func(string) broker.Team { return team }, nil)
@@ -30,13 +30,13 @@
 	return p
 }
 
-// ask asks for a place and returns the answer, if there is one at once.
+// ask asks for a slot and returns the answer if there is one immediately.
 func ask(p *broker.Pool, now time.Time, id, class, team string) (<-chan wire.Grant, *wire.Grant) {
 	ch := p.Acquire(now, wire.Acquire{Pool: "llm", Request: id, Node: "n1", Class: class, Team: team})
 	return ch, poll(ch)
 }
 
-// poll returns an answer that is there, or nil.
+// poll returns the answer if there is one, or nil.
 func poll(ch <-chan wire.Grant) *wire.Grant {
 	select {
 	case g := <-ch:
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestPlaceIsGrantedWhenOneIsReleased(t *testing.T) {
+func TestReleasedSlotGoesToHigherTier(t *testing.T) {
 	p := pool(t, 10, 1, 1, broker.Team{})
 	if _, g := ask(p, start, "a", "explain", "x"); g == nil || g.Engine != "e0" {
 		t.Fatalf("first got %+v", g)
@@ -58,13 +58,13 @@
 	}
 	p.Release(start, wire.Release{Pool: "llm", Request: "a", Engine: "e0", Status: broker.StatusOK})
 	if poll(high) == nil || poll(low) != nil {
-		t.Error("the place went to the lower tier")
+		t.Error("the slot was granted to the lower tier")
 	}
 }
 
-// TestShedIsRefusedWithAReturnTimeOfItsOwn holds that requests which are refused
-// together are told to come back one after the other.
-func TestShedIsRefusedWithAReturnTimeOfItsOwn(t *testing.T) {
+// TestShedRequestsGetDistinctRetryTimes checks that requests refused together
+// get different retry times.
+func TestShedRequestsGetDistinctRetryTimes(t *testing.T) {
 	p := pool(t, 2, 1, 1, broker.Team{})
 	ask(p, start, "run", "explain", "x")
 	seen := map[int]bool{}
@@ -106,17 +106,17 @@
 		}
 		refused[g.Refusal]++
 		if g.RetryAfterMs <= 0 {
-			t.Errorf("refusal without a return time: %+v", g)
+			t.Errorf("refusal without a retry time: %+v", g)
 		}
 	}
-	// 3 at once, then 10 a second until 5 are in flight.
+	// A burst of 3, then 10 a second until 5 are in flight.
 	if granted != 5 || refused[broker.ReasonTeamInFlight] == 0 || refused[broker.ReasonTeamRate] == 0 {
 		t.Errorf("%d granted, refused %v", granted, refused)
 	}
 }
 
-// TestNewBrokerCountsWhatNodesHold holds that a broker grants nothing before the
-// nodes reported, and then only what is free.
+// TestNewBrokerCountsWhatNodesHold checks that a new broker grants nothing before
+// the nodes have reported, and then only free slots.
 func TestNewBrokerCountsWhatNodesHold(t *testing.T) {
 	p := broker.NewPool(start, "llm", func(string) broker.Team { return broker.Team{} }, []string{"n1", "n2"})
 	p.Configure(start, broker.Options{QueueLimit: 10}, classes, []broker.Engine{{Name: "e0", Slots: 1}})
@@ -127,37 +127,37 @@
 	}
 	p.Report(start, wire.Report{Node: "n2", Pool: "llm", Holds: []wire.Hold{{Request: "old", Engine: "e0"}}})
 	if poll(ch) != nil {
-		t.Fatal("granted a place that n2 holds")
+		t.Fatal("granted a slot that n2 holds")
 	}
 	p.NodeGone(start, "n2")
 	if poll(ch) == nil {
-		t.Error("the place of a dead node was not granted")
+		t.Error("the slot of a dead node was not granted")
 	}
 }
 
-// TestNeverAllEngines ejects every engine by failures and still gets a request
-// through. Before, a pool whose engines all failed once took nothing for the
-// whole pause: 28 of 40 requests were refused in TestOnceBackendBreaks.
-func TestNeverAllEngines(t *testing.T) {
+// TestPoolWithAllEnginesFailedStillGrants checks that a pool whose engines have all failed still
+// grants slots. Without that, the pool took no requests for the whole pause:
+// 28 of 40 requests were refused in TestOnceBackendBreaks.
+func TestPoolWithAllEnginesFailedStillGrants(t *testing.T) {
 	p := pool(t, 10, 2, 4, broker.Team{})
 	now := start
 	for i := range 6 {
 		id := fmt.Sprint(i)
 		_, g := ask(p, now, id, "explain", "x")
 		if g == nil || g.Engine == "" {
-			t.Fatalf("request %d got %+v though no engine works on anything", i, g)
+			t.Fatalf("request %d got %+v while all engines were idle", i, g)
 		}
 		p.Release(now, wire.Release{Pool: "llm", Request: id, Engine: g.Engine, Status: broker.StatusFailed})
 		now = now.Add(time.Millisecond)
 	}
 }
 
-// TestSlowEngineGetsLess holds that an engine five times as slow as the others
-// gets fewer requests, and some.
+// TestSlowEngineGetsLess checks that an engine five times as slow as the others
+// is marked as slow, and no other.
 func TestSlowEngineGetsLess(t *testing.T) {
 	p := pool(t, 1000, 3, 10, broker.Team{})
 	now := start
-	for i := range 30 { // Each engine shows its pace.
+	for i := range 30 { // Lets the pool measure each engine's time per token.
 		id := fmt.Sprint("p", i)
 		_, g := ask(p, now, id, "explain", "x")
 		pace := 10
@@ -176,14 +176,14 @@
 	}
 }
 
-// TestPlacesAreKeptForHigherTiers holds that a flood of the lowest tier leaves
-// free what the top tier has been using, and that without a margin it does not.
-func TestPlacesAreKeptForHigherTiers(t *testing.T) {
+// TestSlotsAreReservedForHigherTiers checks that a flood of the lowest tier leaves
+// slots free for the top tier's recent use, and that without a margin it does not.
+func TestSlotsAreReservedForHigherTiers(t *testing.T) {
 	for margin, wantFree := range map[float64]bool{0: false, 2: true} {
 		p := pool(t, 1000, 2, 10, broker.Team{})
 		p.Configure(start, broker.Options{QueueLimit: 1000, ReserveMargin: margin}, classes, []broker.Engine{{Name: "e0", Slots: 10}, {Name: "e1", Slots: 10}})
 		now := start
-		for i := range 400 { // Four confirmations at a time, for forty seconds.
+		for i := range 400 { // Four concurrent confirmations for forty seconds.
 			id := fmt.Sprint("c", i)
 			_, g := ask(p, now, id, "confirm", "x")
 			if i >= 4 {
@@ -197,28 +197,28 @@
 		}
 		_, g := ask(p, now, "late", "confirm", "x")
 		if got := g != nil && g.Engine != ""; got != wantFree {
-			t.Errorf("margin %v: a place was free for the top tier: %v, want %v", margin, got, wantFree)
+			t.Errorf("margin %v: a slot was free for the top tier: %v, want %v", margin, got, wantFree)
 		}
 	}
 }
 
-// crowd is a pool under load, for benchmarks.
-type crowd struct {
+// loadedPool is a pool under load, for benchmarks.
+type loadedPool struct {
 	pool    *broker.Pool
 	teams   int
 	next    int
-	running []wire.Release // running are the places that are held.
-	waiting [][]waiting    // waiting are each team's requests, oldest first.
+	running []wire.Release // running holds the releases of the slots in use.
+	waiting [][]waiting    // waiting holds each team's requests, oldest first.
 }
 
-// waiting is a request that waits.
+// waiting is a waiting request.
 type waiting struct {
 	id string
 	ch <-chan wire.Grant
 }
 
-// push asks for a place for the next team in turn.
-func (c *crowd) push() {
+// push asks for a slot for the next team, round-robin.
+func (c *loadedPool) push() {
 	team := c.next % c.teams
 	id := fmt.Sprint(c.next)
 	c.next++
@@ -226,8 +226,8 @@
 	c.waiting[team] = append(c.waiting[team], waiting{id, ch})
 }
 
-// collect takes note of the places that were granted.
-func (c *crowd) collect() {
+// collect moves granted requests from waiting to running.
+func (c *loadedPool) collect() {
 	for team := range c.waiting {
 		for len(c.waiting[team]) > 0 {
 			w := c.waiting[team][0]
@@ -246,7 +246,7 @@
 func BenchmarkDecision(b *testing.B) {
 	for _, size := range []struct{ engines, teams, waiting int }{{12, 10, 100}, {12, 10, 10000}, {12, 540, 10000}, {64, 540, 10000}, {600, 540, 10000}} {
 		b.Run(fmt.Sprintf("engines=%d/teams=%d/waiting=%d", size.engines, size.teams, size.waiting), func(b *testing.B) {
-			c := &crowd{pool: pool(b, 1<<30, size.engines, 4, broker.Team{Weight: 1}), teams: size.teams, waiting: make([][]waiting, size.teams)}
+			c := &loadedPool{pool: pool(b, 1<<30, size.engines, 4, broker.Team{Weight: 1}), teams: size.teams, waiting: make([][]waiting, size.teams)}
 			for range 4*size.engines + size.waiting {
 				c.push()
 			}
@@ -269,17 +269,17 @@
 	}
 }
 
-// TestANewBrokerShedsByTierOnceAllHaveAsked holds that a new broker sheds nothing for want
-// of room before what waited at the one before it can have asked again, and then the lowest
-// tier first, though it was the last to ask.
-func TestANewBrokerShedsByTierOnceAllHaveAsked(t *testing.T) {
+// TestNewBrokerShedsLowestTierAfterGracePeriod checks that a new broker sheds nothing until the
+// requests that waited at the previous broker have had time to ask again, and then sheds the
+// lowest tier first, even though it was the last to ask.
+func TestNewBrokerShedsLowestTierAfterGracePeriod(t *testing.T) {
 	p := broker.NewPool(start, "llm", func(string) broker.Team { return broker.Team{} }, []string{"n1"})
 	p.Configure(start, broker.Options{QueueLimit: 2}, classes, nil)
 	var higher []<-chan wire.Grant
 	for i := range 3 {
 		ch, g := ask(p, start, fmt.Sprint("c", i), "confirm", "x")
 		if higher = append(higher, ch); g != nil {
-			t.Fatalf("the higher tier's request %d got %+v before the others have asked", i, g)
+			t.Fatalf("request %d of the higher tier got %+v before the others have asked", i, g)
 		}
 	}
 	now := start.Add(100 * time.Millisecond)
@@ -292,7 +292,7 @@
 	now = now.Add(500 * time.Millisecond)
 	p.Sweep(now)
 	if g := poll(lower); g == nil || g.Refusal != broker.ReasonQueueFull {
-		t.Errorf("of four requests in a queue for two the lower tier's got %+v", g)
+		t.Errorf("with four requests in a queue for two, the one of the lower tier got %+v", g)
 	}
 	shed := 0
 	for _, ch := range higher {
@@ -304,6 +304,6 @@
 		t.Errorf("%d of three requests of the higher tier were shed from a queue for two", shed)
 	}
 	if _, g := ask(p, now, "late", "explain", "x"); g == nil || g.Refusal != broker.ReasonQueueFull {
-		t.Errorf("later a request beyond the limit got %+v", g)
+		t.Errorf("after the grace period, a request over the queue limit got %+v", g)
 	}
 }
--- a/internal/broker/refuse.go
+++ b/internal/broker/refuse.go
@@ -9,7 +9,7 @@
 	"github.com/croftturn/croftturn/internal/wire"
 )
 
-// refuseItem refuses a request that was taken out of the queue.
+// refuseItem refuses a request that was removed from the queue.
 func (p *Pool) refuseItem(now time.Time, it *queue.Item, reason string) {
 	w := it.Value.(*waiter)
 	p.removeWaiter(w)
@@ -18,8 +18,8 @@
 	w.refuse(reason, p.retryAfter(now, ahead), why)
 }
 
-// shed refuses requests while too many wait, once all that waited at the broker before can
-// have asked here.
+// shed refuses requests while too many wait, once all requests that waited at the previous
+// broker have had time to ask here.
 func (p *Pool) shed(now time.Time) {
 	if !p.queueComplete(now) {
 		return
@@ -29,8 +29,8 @@
 	}
 }
 
-// queueComplete reports whether the requests that wait are all there are, rather than those that
-// were the first to ask at a new broker.
+// queueComplete reports whether the queue holds all waiting requests, rather than only the
+// first ones to reach a new broker.
 func (p *Pool) queueComplete(now time.Time) bool {
 	if p.shedAfter.IsZero() && !p.rebuilding(now) {
 		p.shedAfter = now.Add(shedGracePeriod)
@@ -38,14 +38,14 @@
 	return !p.shedAfter.IsZero() && !now.Before(p.shedAfter)
 }
 
-// refuse answers a request with a refusal.
+// refuse answers the request with a refusal.
 func (w *waiter) refuse(reason string, wait time.Duration, why string) {
 	w.reply <- wire.Grant{Refusal: reason, RetryAfterMs: int(wait.Milliseconds()), Why: why}
 }
 
 // retryAfter returns how long a refused caller should wait: until the queue ahead
-// has drained, and one after the other at the rate at which it drains, so that
-// those who were refused together do not come back together.
+// has drained, with retries spaced at the drain rate, so that callers refused
+// together do not retry together.
 func (p *Pool) retryAfter(now time.Time, ahead int) time.Duration {
 	each := time.Duration(float64(time.Second) / p.drainRate(now))
 	at := now.Add(time.Duration(ahead) * each)
@@ -60,13 +60,13 @@
 	return max(at.Sub(now), each)
 }
 
-// countGrant counts a grant for the drain rate.
+// countGrant adds a grant to the drain rate.
 func (p *Pool) countGrant(now time.Time) {
 	p.grants = p.grants*math.Exp2(-float64(now.Sub(p.grantsAt))/float64(rateHalfLife)) + 1
 	p.grantsAt = now
 }
 
-// drainRate returns how many requests a second get a place.
+// drainRate returns how many requests a second are granted a slot.
 func (p *Pool) drainRate(now time.Time) float64 {
 	n := p.grants * math.Exp2(-float64(now.Sub(p.grantsAt))/float64(rateHalfLife))
 	return math.Max(minDrainRate, n*math.Ln2/rateHalfLife.Seconds())
--- a/internal/broker/reserve.go
+++ b/internal/broker/reserve.go
@@ -6,24 +6,23 @@
 )
 
 const (
-	// useHalfLife is the time in which the record of a tier's use halves.
+	// useHalfLife is the half-life of a tier's average use.
 	useHalfLife = 10 * time.Second
 
-	// maxReservedDivisor bounds what is kept free, as a part of a pool's slots: one in
-	// maxReservedDivisor.
+	// maxReservedDivisor bounds the reserved slots to one in maxReservedDivisor of a pool's slots.
 	maxReservedDivisor = 2
 )
 
-// tierUse is how many places a tier uses, now and on average over the time that
-// it was known.
+// tierUse tracks how many slots a tier uses, now and as a decaying average over
+// the time that it has been known.
 type tierUse struct {
 	now    int
-	sum    float64 // sum is the decayed sum behind the average, and weight its weight.
+	sum    float64 // sum and weight are decayed; sum/weight is the average.
 	weight float64
 	at     time.Time
 }
 
-// updateAverage brings the average up to a time.
+// updateAverage advances the decaying average to a time.
 func (u *tierUse) updateAverage(now time.Time) {
 	if u.at.IsZero() {
 		u.at = now
@@ -36,14 +35,14 @@
 	}
 }
 
-// add counts places that were taken, or given back where n is below 0.
+// add counts n slots as taken, or as given back if n is negative.
 func (u *tierUse) add(now time.Time, n int) {
 	u.updateAverage(now)
 	u.now += n
 }
 
-// expectedDemand returns how many places the tier is likely to want besides those it
-// has: up to its average and margin times the spread of a random stream.
+// expectedDemand returns how many more slots the tier is likely to need: up to its
+// average plus margin standard deviations of a Poisson process.
 func (u *tierUse) expectedDemand(now time.Time, margin float64) float64 {
 	u.updateAverage(now)
 	if u.weight == 0 {
@@ -53,8 +52,7 @@
 	return math.Max(0, mean+margin*math.Sqrt(mean)-float64(u.now))
 }
 
-// reserved returns how many places a request of a tier must leave free for the
-// tiers above it.
+// reserved returns how many slots a request of a tier must leave free for higher tiers.
 func (p *Pool) reserved(now time.Time, tier, slots int) float64 {
 	if p.reserveMargin <= 0 {
 		return 0
@@ -68,14 +66,13 @@
 	return math.Min(sum, float64(slots/maxReservedDivisor))
 }
 
-// freeSlotsReserved reports whether all places that are free are freeSlotsReserved for tiers above a
-// class.
+// freeSlotsReserved reports whether all free slots are reserved for tiers above a class.
 func (p *Pool) freeSlotsReserved(now time.Time, class string, free, slots int) bool {
 	reserved := p.reserved(now, p.classes[class].Tier, slots)
 	return reserved > 0 && float64(free) <= reserved
 }
 
-// tierUseOf returns the use of a class's tier.
+// tierUseOf returns the usage record of a class's tier, creating it if needed.
 func (p *Pool) tierUseOf(class string) *tierUse {
 	tier := p.classes[class].Tier
 	u := p.tierUses[tier]
--- a/internal/broker/service.go
+++ b/internal/broker/service.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	// sweepInterval is how often waiting requests are looked over.
+	// sweepInterval is how often waiting requests are checked.
 	sweepInterval = 20 * time.Millisecond
 
-	// stallThreshold is how long after the last sweep a broker's queue counts for nothing: the
-	// process stood still, and others may have taken another node for the broker meanwhile, where
-	// those that wait here have asked again. It is below the time after which nodes that are
-	// silent are taken for dead.
+	// stallThreshold is how long after the last sweep a broker's queue is taken as stale: the
+	// process was paused, and the nodes may have chosen another broker meanwhile, where requests
+	// that wait here have asked again. It is below the time after which silent nodes are taken
+	// for dead.
 	stallThreshold = time.Second
 )
 
-// Methods that nodes call at a broker.
+// Methods that nodes call on a broker.
 const (
 	MethodAcquire = "acq" // MethodAcquire takes an Acquire and answers with a Grant.
 	MethodRelease = "rel" // MethodRelease takes a Release.
@@ -34,7 +34,7 @@
 )
 
 type (
-	// Members tells who is the broker of a pool.
+	// Members is the cluster membership, which determines the broker of a pool.
 	Members interface {
 		Self() wire.Member
 		Owner(key string) (wire.Member, bool)
@@ -42,11 +42,11 @@
 		Changed() <-chan struct{}
 	}
 
-	// Loads tells what engines report of themselves.
+	// Loads gives access to the engines' load reports.
 	Loads interface {
 		// Watch sets the engines whose reports are read.
 		Watch(engines []*config.Engine)
-		// Leaving reports whether an engine says that it is leaving.
+		// Leaving reports whether an engine's report says that it is leaving.
 		Leaving(engine string) bool
 	}
 
@@ -64,7 +64,7 @@
 	}
 )
 
-// Key returns the key by which a pool's broker is found.
+// Key returns the membership key that determines a pool's broker.
 func Key(pool string) string { return "broker/" + pool }
 
 // NewService returns a service without pools.
@@ -72,31 +72,31 @@
 	return &Service{members: members, store: store, loads: loads, tracer: tracer, pools: map[string]*Pool{}, live: map[string]bool{}}
 }
 
-// Run follows members and configuration, and sweeps the pools, until the
-// context ends; then it moves all that wait.
+// Run reconciles the pools with members and configuration and sweeps them until
+// the context ends; then it refuses all waiting requests as moved.
 func (s *Service) Run(ctx context.Context) {
 	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	for {
 		members, config := s.members.Changed(), s.store.Changed()
 		s.reconcile(clock.Now())
-		for settled := true; settled; {
+		for inSync := true; inSync; {
 			select {
 			case <-ctx.Done():
 				s.closeAllPools()
 				return
 			case <-members:
-				settled = false
+				inSync = false
 			case <-config:
-				settled = false
+				inSync = false
 			case <-tick.C:
-				settled = s.tick(clock.Now())
+				inSync = s.tick(clock.Now())
 			}
 		}
 	}
 }
 
-// reconcile brings the pools into line with members and configuration.
+// reconcile brings the pools in line with members and configuration.
 func (s *Service) reconcile(now time.Time) {
 	view := s.store.View()
 	if view == nil {
@@ -128,7 +128,7 @@
 	s.loads.Watch(watched)
 }
 
-// removeDeadNodes tells the pools which nodes are no longer live.
+// removeDeadNodes removes the nodes that are no longer live from the pools.
 func (s *Service) removeDeadNodes(now time.Time) {
 	live := map[string]bool{}
 	for _, m := range s.members.Live() {
@@ -151,7 +151,7 @@
 	return ok && owner.Name == s.members.Self().Name
 }
 
-// closePool gives up a pool; the caller holds the lock.
+// closePool closes a pool and refuses its waiting requests as moved; the caller holds the lock.
 func (s *Service) closePool(pool string) {
 	if p := s.pools[pool]; p != nil {
 		p.RefuseMoved()
@@ -159,7 +159,7 @@
 	}
 }
 
-// closeAllPools gives up all pools.
+// closeAllPools closes all pools.
 func (s *Service) closeAllPools() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -168,8 +168,8 @@
 	}
 }
 
-// tick sweeps the pools, or gives them up where this process stood still; then it is false,
-// and they are begun anew, from what the nodes report.
+// tick sweeps the pools. If this process stalled, it closes them and returns false, so that
+// they are rebuilt from the nodes' reports.
 func (s *Service) tick(now time.Time) bool {
 	s.mu.Lock()
 	stood := s.stalled(now)
@@ -183,7 +183,7 @@
 	return true
 }
 
-// stalled reports whether this process stood still since the last sweep; the caller
+// stalled reports whether the last sweep is longer ago than stallThreshold; the caller
 // holds the lock.
 func (s *Service) stalled(now time.Time) bool {
 	return !s.lastSweep.IsZero() && now.Sub(s.lastSweep) > stallThreshold
@@ -200,7 +200,7 @@
 	}
 }
 
-// poolsByName returns the pools by name.
+// poolsByName returns a copy of the map of pools.
 func (s *Service) poolsByName() map[string]*Pool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -211,8 +211,8 @@
 	return out
 }
 
-// pool returns a pool of this broker, or nil where it is another's, or may be since this
-// process stood still.
+// pool returns a pool of which this node is the broker, or nil if another node is, or may be
+// because this process stalled.
 func (s *Service) pool(now time.Time, name string) *Pool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -232,7 +232,7 @@
 	return Team{Weight: t.Weight, Rate: t.RequestsPerSecond, Burst: t.RequestBurst, InFlight: t.InFlight}
 }
 
-// Acquire waits for a place. A node that is not the broker says so.
+// Acquire waits for a slot. A node that is not the broker refuses with ReasonMoved.
 func (s *Service) Acquire(ctx context.Context, req *wire.Acquire) (any, error) {
 	ctx, span := s.tracer.Start(telemetry.WithTraceParent(ctx, req.TraceParent), "broker queue")
 	defer span.End()
@@ -251,7 +251,7 @@
 	}
 }
 
-// Release gives a place back.
+// Release gives a slot back.
 func (s *Service) Release(_ context.Context, rel *wire.Release) (any, error) {
 	now := clock.Now()
 	if p := s.pool(now, rel.Pool); p != nil {
@@ -260,7 +260,7 @@
 	return nil, nil
 }
 
-// Cancel gives up a wait, or a place whose grant was not received.
+// Cancel gives up a wait, or a slot whose grant was not received.
 func (s *Service) Cancel(_ context.Context, req *wire.Acquire) (any, error) {
 	now := clock.Now()
 	if p := s.pool(now, req.Pool); p != nil {
@@ -269,8 +269,8 @@
 	return nil, nil
 }
 
-// Report takes what a node holds. The answer is false where this node is not
-// the pool's broker yet, so that the node tells it again.
+// Report records the slots that a node holds. The answer is false if this node is
+// not the pool's broker yet, so that the node reports again.
 func (s *Service) Report(_ context.Context, r *wire.Report) (any, error) {
 	now := clock.Now()
 	p := s.pool(now, r.Pool)
@@ -302,7 +302,7 @@
 	return out
 }
 
-// ClassesOf returns the queue's view of the classes.
+// ClassesOf returns the configured classes as the queue's type.
 func ClassesOf(view *config.View) []queue.Class {
 	out := make([]queue.Class, 0, len(view.Config.Classes))
 	for _, c := range view.Config.Classes {
@@ -314,7 +314,7 @@
 	return out
 }
 
-// EnginesOf returns the broker's view of a pool's engines.
+// EnginesOf returns a pool's configured engines as the broker's type.
 func EnginesOf(view *config.View, pool string) []Engine {
 	var out []Engine
 	for _, e := range view.Engines(pool) {
