--- a/internal/broker/engine.go
+++ b/internal/broker/engine.go
@@ -82,12 +82,12 @@
 }
 
 // observeTimePerToken adds a sample to the average time per token.
-func (e *Engine) observeTimePerToken(pace time.Duration) {
+func (e *Engine) observeTimePerToken(sample time.Duration) {
 	if e.timePerToken == 0 {
-		e.timePerToken = pace
+		e.timePerToken = sample
 		return
 	}
-	e.timePerToken += time.Duration(timePerTokenWeight * float64(pace-e.timePerToken))
+	e.timePerToken += time.Duration(timePerTokenWeight * float64(sample-e.timePerToken))
 }
 
 // limitSlowEngines gives slow engines fewer requests: an engine at f times the
--- a/internal/broker/pool_test.go
+++ b/internal/broker/pool_test.go
@@ -160,11 +160,11 @@
 	for i := range 30 { // Lets the pool measure each engine's time per token.
 		id := fmt.Sprint("p", i)
 		_, g := ask(p, now, id, "explain", "x")
-		pace := 10
+		msPerToken := 10
 		if g.Engine == "e0" {
-			pace = 50
+			msPerToken = 50
 		}
-		p.Release(now, wire.Release{Pool: "llm", Request: id, Engine: g.Engine, Status: broker.StatusOK, OutputTokens: 101, DurationMs: 100 * pace})
+		p.Release(now, wire.Release{Pool: "llm", Request: id, Engine: g.Engine, Status: broker.StatusOK, OutputTokens: 101, DurationMs: 100 * msPerToken})
 		ask(p, now, fmt.Sprint("h", i), "explain", "x")
 	}
 	p.Sweep(now.Add(time.Second))
--- a/internal/broker/service.go
+++ b/internal/broker/service.go
@@ -58,7 +58,7 @@
 		tracer  trace.Tracer
 
 		mu        sync.Mutex
-		lastSweep time.Time // swept is when the pools were last swept.
+		lastSweep time.Time // lastSweep is when the pools were last swept.
 		pools     map[string]*Pool
 		live      map[string]bool
 	}
