--- a/internal/placement/cache.go
+++ b/internal/placement/cache.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// cachedLife is how long a prompt part is taken to stay in an engine's cache
+	// cacheTTL is how long a prompt part is taken to stay in an engine's cache
 	// after its last use there. Engines let the longest unused parts go first.
-	cachedLife = 30 * time.Second
+	cacheTTL = 30 * time.Second
 
 	// maxParts bounds the parts that a node remembers, over all engines: twice as many as 500
 	// requests a second with a session each use in cachedLife. A part at one engine takes 436
@@ -50,8 +50,8 @@
 	return p.Shared[len(p.Shared)-1].ID
 }
 
-// use records that an engine has read parts.
-func (c *cache) use(now time.Time, engine string, parts ...uint64) {
+// recordUse records that an engine has read parts.
+func (c *cache) recordUse(now time.Time, engine string, parts ...uint64) {
 	for _, id := range parts {
 		at := c.parts[id]
 		if at == nil {
@@ -68,7 +68,7 @@
 // prune forgets what no engine keeps any more, and where that is not enough what was used
 // the longest ago.
 func (c *cache) prune(now time.Time) {
-	for life := cachedLife; len(c.parts) >= maxParts*3/4; life /= 2 {
+	for life := cacheTTL; len(c.parts) >= maxParts*3/4; life /= 2 {
 		c.forgetBefore(now.Add(-life))
 		if life == 0 {
 			return // All were used at this moment.
@@ -97,12 +97,12 @@
 	}
 }
 
-// unread returns how many tokens of a prompt an engine still has to read.
-func (c *cache) unread(now time.Time, engine string, p Prompt) int {
+// uncachedTokens returns how many tokens of a prompt an engine still has to read.
+func (c *cache) uncachedTokens(now time.Time, engine string, p Prompt) int {
 	left := p.Tokens
 	for _, part := range p.Shared {
 		at, ok := c.parts[part.ID][engine]
-		if !ok || now.Sub(at) > cachedLife {
+		if !ok || now.Sub(at) > cacheTTL {
 			break
 		}
 		left -= part.Tokens
--- a/internal/placement/cache_test.go
+++ b/internal/placement/cache_test.go
@@ -8,8 +8,8 @@
 	"github.com/croftturn/croftturn/internal/placement"
 )
 
-// tellPart tells a placement that a peer gave a session's part to an engine.
-func tellPart(p *placement.Placement, now time.Time, engine string, session int) {
+// reportPart tells a placement that a peer gave a session's part to an engine.
+func reportPart(p *placement.Placement, now time.Time, engine string, session int) {
 	p.Peer(now, "peer", 0, nil, []placement.Use{{Engine: engine, Part: placement.NewPart(fmt.Sprint("session", session), 0).ID}, {Engine: engine, Part: placement.NewPart("root", 0).ID}})
 }
 
@@ -21,7 +21,7 @@
 	now := start
 	for i := range 2 * sessions {
 		now = now.Add(time.Second / 700)
-		tellPart(p, now, fmt.Sprint("e", i%8), i%sessions)
+		reportPart(p, now, fmt.Sprint("e", i%8), i%sessions)
 	}
 	lost := 0
 	for i := range sessions {
@@ -42,7 +42,7 @@
 	const sessions = 3 * placement.MaxParts
 	for i := range sessions {
 		now = now.Add(time.Millisecond / 10)
-		tellPart(p, now, "e0", i)
+		reportPart(p, now, "e0", i)
 	}
 	if got := p.Parts(); got > placement.MaxParts {
 		t.Errorf("%d parts are remembered, want %d at most", got, placement.MaxParts)
--- a/internal/placement/call.go
+++ b/internal/placement/call.go
@@ -26,17 +26,17 @@
 
 	// Call is one request at one engine, from its sending to its end.
 	Call struct {
-		p      *Placement
-		engine *engine
-		load   Load
-		start  time.Time
-		wait   time.Duration // wait is how long the engine was expected to take before it begins
-		ahead  int           // ahead is how many tokens it was expected to read until then
-		read   float64       // read is the rate that was expected, in tokens a millisecond
-
-		stream bool      // stream says that the answer is a stream whose pauses matter
-		heard  time.Time // heard is when bytes last came
-		signed time.Time // signed is when the engine last gave a sign, by the head of its answer or by bytes
+		p            *Placement
+		engine       *engine
+		load         Load
+		start        time.Time
+		wait         time.Duration // wait is how long the engine was expected to take before it begins
+		queuedTokens int           // ahead is how many tokens it was expected to read until then
+		prefillRate  float64       // read is the rate that was expected, in tokens a millisecond
+
+		stream   bool      // stream says that the answer is a stream whose pauses matter
+		lastData time.Time // heard is when bytes last came
+		lastSign time.Time // signed is when the engine last gave a sign, by the head of its answer or by bytes
 
 		lost   bool   // lost says that the engine has started again since
 		onLost func() // onLost is called then; it may be nil
@@ -56,28 +56,28 @@
 	}
 	call := &Call{
 		p: p, engine: e, load: Load{Unread: c.Unread, InFlight: 1}, start: now, wait: time.Duration(c.Wait * float64(time.Millisecond)),
-		ahead: c.Ahead, read: c.Read, stream: r.MaxGap > 0, signed: now,
+		queuedTokens: c.Ahead, prefillRate: c.Read, stream: r.MaxGap > 0, lastSign: now,
 	}
 	if e.calls == nil {
 		e.calls = map[*Call]bool{}
 	}
 	e.calls[call] = true
 	p.noteTrial(now, call)
-	p.noteCold(now, p.knownPool(r.Pool), e)
+	p.noteCold(now, p.poolState(r.Pool), e)
 	if c.Unread > 0 {
-		p.noteWork(r, float64(c.Unread)/c.Read)
-		p.knownPool(r.Pool).noteRead(c.Unread, c.Tight)
+		p.addWork(r, float64(c.Unread)/c.Read)
+		p.poolState(r.Pool).notePrefill(c.Unread, c.Tight)
 	}
 	if c.Tight {
 		call.load.Streams = 1
-		p.knownPool(r.Pool).noteTight(r.MaxGap)
+		p.poolState(r.Pool).noteStreamGap(r.MaxGap)
 	}
 	if e.own.InFlight == 0 {
-		e.heardAt = now
+		e.lastData = now
 	}
 	e.own = e.own.add(call.load)
 	for _, part := range r.Prompt.Shared {
-		p.cache.use(now, e.ID, part.ID)
+		p.cache.recordUse(now, e.ID, part.ID)
 		p.uses = append(p.uses, Use{Engine: e.ID, Part: part.ID})
 	}
 	return call
@@ -87,14 +87,14 @@
 func (c *Call) Began(now time.Time) {
 	c.p.mu.Lock()
 	defer c.p.mu.Unlock()
-	c.engine.heardAt = now
+	c.engine.lastData = now
 	if !c.began {
-		c.began, c.signed = true, now
-		c.p.endRest(c)
+		c.began, c.lastSign = true, now
+		c.p.endBackoff(c)
 		c.engine.own.Unread -= c.load.Unread
 		c.engine.pace.note(now, now.Sub(c.start), c.wait)
-		if own := float64(c.load.Unread); own >= readLeast && own >= readAlone*float64(c.ahead) {
-			c.engine.reading.note(now, float64(c.ahead), now.Sub(c.start)-readFloor, c.read)
+		if own := float64(c.load.Unread); own >= minSampleTokens && own >= minSampleShare*float64(c.queuedTokens) {
+			c.engine.prefill.note(now, float64(c.queuedTokens), now.Sub(c.start)-prefillOverhead, c.prefillRate)
 		}
 	}
 }
@@ -103,18 +103,18 @@
 func (c *Call) Heard(now time.Time) {
 	c.p.mu.Lock()
 	defer c.p.mu.Unlock()
-	c.engine.heardAt = now
-	if c.stream && !c.heard.IsZero() {
-		c.p.knownPool(c.engine.Pool).notePause(c.engine, now.Sub(c.heard))
+	c.engine.lastData = now
+	if c.stream && !c.lastData.IsZero() {
+		c.p.poolState(c.engine.Pool).noteGap(c.engine, now.Sub(c.lastData))
 	}
-	c.heard, c.signed = now, now
+	c.lastData, c.lastSign = now, now
 }
 
 // Quiet returns for how long nothing has come from the engine for this request.
 func (c *Call) Quiet(now time.Time) time.Duration {
 	c.p.mu.Lock()
 	defer c.p.mu.Unlock()
-	return now.Sub(c.signed)
+	return now.Sub(c.lastSign)
 }
 
 // OnLost has a function called once it is known that the engine has started again since
@@ -129,8 +129,8 @@
 	}
 }
 
-// lose records that the engine has started again. The caller does not hold the lock.
-func (c *Call) lose() {
+// markLost records that the engine has started again. The caller does not hold the lock.
+func (c *Call) markLost() {
 	c.p.mu.Lock()
 	c.lost = true
 	f := c.onLost
@@ -155,7 +155,7 @@
 		return
 	}
 	c.ended = true
-	c.p.endRest(c)
+	c.p.endBackoff(c)
 	delete(c.engine.calls, c)
 	if !c.began {
 		c.engine.own.Unread -= c.load.Unread
@@ -199,22 +199,22 @@
 func (p *Placement) Peer(now time.Time, peer string, known int64, loads map[string]Load, uses []Use) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, id := range p.told[peer] {
+	for _, id := range p.peerEngines[peer] {
 		if e := p.engines[id]; e != nil {
 			e.setPeer(now, peer, Load{})
 		}
 	}
-	told := p.told[peer][:0]
+	told := p.peerEngines[peer][:0]
 	for id, l := range loads {
 		if e := p.engines[id]; e != nil && known >= e.Since {
 			e.setPeer(now, peer, l)
 			told = append(told, id)
 		}
 	}
-	p.told[peer] = told
+	p.peerEngines[peer] = told
 	for _, u := range uses {
 		if e := p.engines[u.Engine]; e != nil && known >= e.Since {
-			p.cache.use(now, u.Engine, u.Part)
+			p.cache.recordUse(now, u.Engine, u.Part)
 		}
 	}
 }
--- a/internal/placement/choose_test.go
+++ b/internal/placement/choose_test.go
@@ -53,7 +53,7 @@
 		if step%3 == 0 {
 			r.Prompt.Shared = nil
 		}
-		least := p.LeastCost(now, r)
+		least := p.MinCost(now, r)
 		c, ok := p.Choose(now, r)
 		if !ok || c.Cost != least {
 			t.Fatalf("step %d: chosen at a cost of %.1f, the least is %.1f", step, c.Cost, least)
--- a/internal/placement/cold.go
+++ b/internal/placement/cold.go
@@ -7,33 +7,33 @@
 )
 
 const (
-	// coldSendersLeast is for how many requests a second that a cold engine bears one node may send there. Few nodes do, so that
+	// minColdRatePerSender is for how many requests a second that a cold engine bears one node may send there. Few nodes do, so that
 	// each may send more than one: a node may begin with one at any moment.
-	coldSendersLeast = 4.0
+	minColdRatePerSender = 4.0
 
-	// coldUse is the share of what a cold engine bears that is used. The rest is for nodes that don't agree on who may
+	// coldUtilization is the share of what a cold engine bears that is used. The rest is for nodes that don't agree on who may
 	// send, as when some were killed or cut off.
-	coldUse = 0.5
+	coldUtilization = 0.5
 
-	// sendersLife is for how long the nodes that may send are remembered.
-	sendersLife = 100 * time.Millisecond
+	// sendersTTL is for how long the nodes that may send are remembered.
+	sendersTTL = 100 * time.Millisecond
 )
 
-// coldShare is what coldEvery returned last, and what it was worked out from.
-type coldShare struct {
-	limit  float64
-	change int
-	every  time.Duration
+// coldPacing is what coldEvery returned last, and what it was worked out from.
+type coldPacing struct {
+	limit      float64
+	generation int
+	interval   time.Duration
 }
 
 // senders are the nodes that send requests, by the hashes of their names.
 type senders struct {
-	self   string
-	names  func(now time.Time) []string
-	at     time.Time
-	hashes []uint64
-	sum    uint64 // sum is of the hashes, in whatever order.
-	change int    // change counts how often the nodes have changed.
+	self     string
+	names    func(now time.Time) []string
+	at       time.Time
+	hashes   []uint64
+	checksum uint64 // sum is of the hashes, in whatever order.
+	change   int    // change counts how often the nodes have changed.
 }
 
 // WithSenders tells a placement of the nodes that send requests, by name, and which of them this one is. What cold engines
@@ -47,37 +47,37 @@
 func (p *Placement) SetColdLimit(pool string, most float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.knownPool(pool).coldLimit = most
+	p.poolState(pool).coldLimit = most
 }
 
-// bears reports whether an engine, where it is cold, may get one more request of this node.
-func (p *Placement) bears(now time.Time, known *pool, e *engine) bool {
+// allowsCold reports whether an engine, where it is cold, may get one more request of this node.
+func (p *Placement) allowsCold(now time.Time, known *pool, e *engine) bool {
 	if known.coldLimit <= 0 || !now.Before(e.ColdUntil) {
 		return true
 	}
-	return !now.Before(e.coldNext) && p.coldEvery(now, known, e) > 0
+	return !now.Before(e.nextColdSend) && p.coldInterval(now, known, e) > 0
 }
 
 // noteCold records that a request is sent to an engine.
 func (p *Placement) noteCold(now time.Time, known *pool, e *engine) {
 	if known.coldLimit > 0 && now.Before(e.ColdUntil) {
-		e.coldNext = now.Add(p.coldEvery(now, known, e))
+		e.nextColdSend = now.Add(p.coldInterval(now, known, e))
 	}
 }
 
-// coldEvery returns the least time between two requests of this node to a cold engine; 0 if it is to send none, since others
+// coldInterval returns the least time between two requests of this node to a cold engine; 0 if it is to send none, since others
 // are before it in the order of senders for that engine.
-func (p *Placement) coldEvery(now time.Time, known *pool, e *engine) time.Duration {
-	all := p.senders.known(now)
-	if e.cold.limit != known.coldLimit || e.cold.change != p.senders.change {
-		e.cold = coldShare{limit: known.coldLimit, change: p.senders.change, every: shareOfCold(known.coldLimit, e.hash, all)}
+func (p *Placement) coldInterval(now time.Time, known *pool, e *engine) time.Duration {
+	all := p.senders.current(now)
+	if e.cold.limit != known.coldLimit || e.cold.generation != p.senders.change {
+		e.cold = coldPacing{limit: known.coldLimit, generation: p.senders.change, interval: computeColdInterval(known.coldLimit, e.hash, all)}
 	}
-	return e.cold.every
+	return e.cold.interval
 }
 
-// shareOfCold returns coldEvery for an engine, of a hash, and the nodes that send requests, by theirs; this one's is the first.
-func shareOfCold(limit float64, engine uint64, all []uint64) time.Duration {
-	many := min(max(1, int(limit/coldSendersLeast)), len(all))
+// computeColdInterval returns coldEvery for an engine, of a hash, and the nodes that send requests, by theirs; this one's is the first.
+func computeColdInterval(limit float64, engine uint64, all []uint64) time.Duration {
+	many := min(max(1, int(limit/minColdRatePerSender)), len(all))
 	own := mix(engine ^ all[0])
 	before := 0
 	for _, other := range all[1:] {
@@ -88,13 +88,13 @@
 	if before >= many {
 		return 0
 	}
-	share := coldUse * limit / float64(many)
+	share := coldUtilization * limit / float64(many)
 	return time.Duration(float64(time.Second) / max(share-1, share/2)) // One may go out at any moment, beside those of a second.
 }
 
-// known returns the hashes of the nodes that send requests, this one's first.
-func (s *senders) known(now time.Time) []uint64 {
-	if age := now.Sub(s.at); len(s.hashes) > 0 && age >= 0 && age < sendersLife {
+// current returns the hashes of the nodes that send requests, this one's first.
+func (s *senders) current(now time.Time) []uint64 {
+	if age := now.Sub(s.at); len(s.hashes) > 0 && age >= 0 && age < sendersTTL {
 		return s.hashes
 	}
 	s.at, s.hashes = now, append(s.hashes[:0], xxhash.Sum64String(s.self))
@@ -107,8 +107,8 @@
 	for _, hash := range s.hashes {
 		sum += mix(hash)
 	}
-	if sum != s.sum {
-		s.sum = sum
+	if sum != s.checksum {
+		s.checksum = sum
 		s.change++
 	}
 	return s.hashes
--- a/internal/placement/engine.go
+++ b/internal/placement/engine.go
@@ -8,29 +8,29 @@
 )
 
 const (
-	// peerLoadLife is how long what a peer told of its load counts: two of the
+	// peerLoadTTL is how long what a peer told of its load counts: two of the
 	// rarest messages, so that a lost datagram does not make an engine look idle.
-	peerLoadLife = 1200 * time.Millisecond
+	peerLoadTTL = 1200 * time.Millisecond
 
-	// reportLife is how long an engine's own report counts; later its load has
+	// reportTTL is how long an engine's own report counts; later its load has
 	// changed by more than the report tells.
-	reportLife = 300 * time.Millisecond
+	reportTTL = 300 * time.Millisecond
 
-	// failureMemory is the time in which an engine's share of failures halves
+	// failureHalfLife is the time in which an engine's share of failures halves
 	// its weight; about the time that engines stay in trouble.
-	failureMemory = 2 * time.Second
+	failureHalfLife = 2 * time.Second
 
-	// paceFloor is what a request takes besides waiting for prompts to be read: the
+	// firstTokenOverhead is what a request takes besides waiting for prompts to be read: the
 	// way there and back and a step or two.
-	paceFloor = 30 * time.Millisecond
+	firstTokenOverhead = 30 * time.Millisecond
 
-	// paceShare is the weight of the newest request in the moving average; about
+	// paceSmoothing is the weight of the newest request in the moving average; about
 	// the last five count.
-	paceShare = 0.2
+	paceSmoothing = 0.2
 
-	// paceMemory is the time in which the slowness of an engine without new
+	// slownessHalfLife is the time in which the slowness of an engine without new
 	// requests counts half.
-	paceMemory = 3 * time.Second
+	slownessHalfLife = 3 * time.Second
 )
 
 type (
@@ -61,25 +61,25 @@
 	engine struct {
 		Engine
 
-		hash  uint64 // hash is of the engine's id.
-		order int    // order is the engine's place in its pool's list.
+		hash      uint64 // hash is of the engine's id.
+		poolIndex int    // order is the engine's place in its pool's list.
 
-		own         Load
-		calls       map[*Call]bool      // calls are this node's requests there; nil before the first.
-		peers       map[string]peerLoad // peers is nil before one told of work there.
-		others      Load                // others is the sum of what the peers told.
-		othersUntil time.Time           // othersUntil is until when it holds.
-		reported    report
-		failures    failures
-		pace        pace
-		reading     reading
+		own            Load
+		calls          map[*Call]bool      // calls are this node's requests there; nil before the first.
+		peers          map[string]peerLoad // peers is nil before one told of work there.
+		peerTotal      Load                // others is the sum of what the peers told.
+		peerTotalUntil time.Time           // othersUntil is until when it holds.
+		reported       report
+		failures       failures
+		pace           pace
+		prefill        prefillSpeed
 
-		// heardAt is when bytes last came from the engine, or when the first of this
+		// lastData is when bytes last came from the engine, or when the first of this
 		// node's requests there was sent.
-		heardAt time.Time
+		lastData time.Time
 
-		cold     coldShare
-		coldNext time.Time // coldNext is when this node may next send a request to the engine while it is cold.
+		cold         coldPacing
+		nextColdSend time.Time // coldNext is when this node may next send a request to the engine while it is cold.
 	}
 
 	// peerLoad is what one peer told of its requests at an engine.
@@ -119,25 +119,25 @@
 
 // load returns the work at the engine, of this node and of its peers.
 func (e *engine) load(now time.Time) Load {
-	if now.After(e.othersUntil) {
-		e.sumOthers(now)
+	if now.After(e.peerTotalUntil) {
+		e.sumPeers(now)
 	}
-	return e.own.add(e.others)
+	return e.own.add(e.peerTotal)
 }
 
-// sumOthers adds up what the peers told, and forgets what is too old.
-func (e *engine) sumOthers(now time.Time) {
-	e.others = Load{}
-	e.othersUntil = now.Add(peerLoadLife)
+// sumPeers adds up what the peers told, and forgets what is too old.
+func (e *engine) sumPeers(now time.Time) {
+	e.peerTotal = Load{}
+	e.peerTotalUntil = now.Add(peerLoadTTL)
 	for name, p := range e.peers {
-		until := p.at.Add(peerLoadLife)
+		until := p.at.Add(peerLoadTTL)
 		if now.After(until) {
 			delete(e.peers, name)
 			continue
 		}
-		e.others = e.others.add(p.Load)
-		if until.Before(e.othersUntil) {
-			e.othersUntil = until
+		e.peerTotal = e.peerTotal.add(p.Load)
+		if until.Before(e.peerTotalUntil) {
+			e.peerTotalUntil = until
 		}
 	}
 }
@@ -153,12 +153,12 @@
 		}
 		e.peers[peer] = peerLoad{Load: l, at: now}
 	}
-	e.othersUntil = time.Time{}
+	e.peerTotalUntil = time.Time{}
 }
 
 // waiting returns how many requests the engine said were waiting, if it said so lately.
 func (e *engine) waiting(now time.Time) int {
-	if now.Sub(e.reported.at) > reportLife {
+	if now.Sub(e.reported.at) > reportTTL {
 		return 0
 	}
 	return e.reported.waiting
@@ -178,10 +178,10 @@
 	if f.at.IsZero() {
 		f.at = now
 	}
-	for f.ended > 0 && now.Sub(f.at) >= failureMemory {
+	for f.ended > 0 && now.Sub(f.at) >= failureHalfLife {
 		f.failed /= 2
 		f.ended /= 2
-		f.at = f.at.Add(failureMemory)
+		f.at = f.at.Add(failureHalfLife)
 		if f.ended < 0.1 {
 			*f = failures{at: now}
 		}
@@ -201,17 +201,17 @@
 
 // note takes the time to the first token of one request, and what was expected.
 func (p *pace) note(now time.Time, took, expected time.Duration) {
-	ratio := float64(took) / float64(expected+paceFloor)
+	ratio := float64(took) / float64(expected+firstTokenOverhead)
 	if p.ratio == 0 {
 		p.ratio = ratio
 	}
-	p.ratio += paceShare * (ratio - p.ratio)
+	p.ratio += paceSmoothing * (ratio - p.ratio)
 	p.at = now
 }
 
 // slowness returns how much slower than usual the engine is, 1 being usual. It is
 // forgotten with time, so that an engine which got no requests is tried again.
 func (p *pace) slowness(now time.Time, usual float64) float64 {
-	age := now.Sub(p.at).Seconds() / paceMemory.Seconds()
+	age := now.Sub(p.at).Seconds() / slownessHalfLife.Seconds()
 	return 1 + max(0, p.ratio/usual-1)*math.Exp2(-age)
 }
--- a/internal/placement/export_test.go
+++ b/internal/placement/export_test.go
@@ -34,18 +34,18 @@
 	return len(p.engines[id].peers)
 }
 
-// LeastCost returns the cost of the cheapest engine, with all engines weighed.
-func (p *Placement) LeastCost(now time.Time, r Request) float64 {
+// MinCost returns the cost of the cheapest engine, with all engines weighed.
+func (p *Placement) MinCost(now time.Time, r Request) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	known := p.pool(r.Pool)
-	known.learnUsual(now)
-	known.survey(now, p.unheard(now), p.heldBack)
-	r.tight = known.tight(r)
+	known.refreshMedians(now)
+	known.refreshOccupancy(now, p.unseenNodes(now), p.throttled)
+	r.gapSensitive = known.gapSensitive(r)
 	least := math.Inf(1)
 	for rank, e := range new(ranking).order(known.engines, r.Prompt.Session()) {
 		if !r.Avoid[e.ID] {
-			least = min(least, p.weigh(now, known, e, r, max(0, e.order-known.gather), rank).Cost)
+			least = min(least, p.evaluate(now, known, e, r, max(0, e.poolIndex-known.streamEngines), rank).Cost)
 		}
 	}
 	return least
--- a/internal/placement/held_test.go
+++ b/internal/placement/held_test.go
@@ -24,7 +24,7 @@
 		{"two resting", 0, 2, 8, 4, true, true},
 		{"all but one", 3, 2, 2, 1, false, false},
 	} {
-		o := opening{}
+		o := permitTimes{}
 		p := placement.New("h", placement.WithLimits(o))
 		now := start
 		loads := map[string]placement.Load{}
--- a/internal/placement/limit.go
+++ b/internal/placement/limit.go
@@ -37,7 +37,7 @@
 	var opens time.Time
 	for _, e := range known.engines {
 		at, limited := p.limits.Opens(e.ID)
-		if !limited || now.Before(p.rested(now, e.ID)) || r.Avoid[e.ID] || !p.allows(r, e) || !p.bears(now, known, e) || first != nil && !at.Before(opens) {
+		if !limited || now.Before(p.backoffUntil(now, e.ID)) || r.Avoid[e.ID] || !p.regionAllowed(r, e) || !p.allowsCold(now, known, e) || first != nil && !at.Before(opens) {
 			continue
 		}
 		first, opens = e, at
@@ -45,17 +45,17 @@
 	if first == nil {
 		return Choice{}, false
 	}
-	choice = p.weigh(now, known, first, r, max(0, first.order-known.gather), 0)
-	choice.Limited, choice.Opens, choice.Engines, choice.Free = true, opens, len(known.engines), known.free
+	choice = p.evaluate(now, known, first, r, max(0, first.poolIndex-known.streamEngines), 0)
+	choice.Limited, choice.Opens, choice.Engines, choice.Free = true, opens, len(known.engines), known.usable
 	return choice, true
 }
 
-// heldBack reports whether an engine takes few requests or none, since it has named a limit or asked for rest. The caller holds
+// throttled reports whether an engine takes few requests or none, since it has named a limit or asked for rest. The caller holds
 // the lock.
-func (p *Placement) heldBack(now time.Time, e *engine) bool {
-	if len(p.rests) == 0 && p.limits.Len() == 0 {
+func (p *Placement) throttled(now time.Time, e *engine) bool {
+	if len(p.backoffs) == 0 && p.limits.Len() == 0 {
 		return false
 	}
 	_, limited := p.limits.Opens(e.ID)
-	return limited || now.Before(p.rested(now, e.ID))
+	return limited || now.Before(p.backoffUntil(now, e.ID))
 }
--- a/internal/placement/many_test.go
+++ b/internal/placement/many_test.go
@@ -8,15 +8,15 @@
 	"github.com/croftturn/croftturn/internal/placement"
 )
 
-// opening tells when engines that have named a limit open.
-type opening map[string]time.Time
+// permitTimes tells when engines that have named a limit open.
+type permitTimes map[string]time.Time
 
-func (o opening) Opens(engine string) (time.Time, bool) {
+func (o permitTimes) Opens(engine string) (time.Time, bool) {
 	at, ok := o[engine]
 	return at, ok
 }
 
-func (o opening) Len() int64 { return int64(len(o)) }
+func (o permitTimes) Len() int64 { return int64(len(o)) }
 
 // BenchmarkChooseAmongMany measures a decision among the engines of a large fleet, where none is held back, and where a tenth is
 // cold, has named a limit, or rests.
@@ -27,16 +27,16 @@
 		names[i] = fmt.Sprint("n", i)
 	}
 	id := func(i int) string { return fmt.Sprint("e", i) }
-	for name, hold := range map[string]func(p *placement.Placement, o opening, i int){
-		"none": func(*placement.Placement, opening, int) {},
-		"cold": func(p *placement.Placement, _ opening, i int) {
+	for name, hold := range map[string]func(p *placement.Placement, o permitTimes, i int){
+		"none": func(*placement.Placement, permitTimes, int) {},
+		"cold": func(p *placement.Placement, _ permitTimes, i int) {
 			p.Set(placement.Engine{ID: id(i), Pool: "p", Hall: "h", Slots: 64, ColdUntil: start.Add(time.Hour)})
 		},
-		"limited": func(_ *placement.Placement, o opening, i int) { o[id(i)] = start.Add(time.Hour) },
-		"resting": func(p *placement.Placement, _ opening, i int) { p.Rest(start, id(i), time.Hour) },
+		"limited": func(_ *placement.Placement, o permitTimes, i int) { o[id(i)] = start.Add(time.Hour) },
+		"resting": func(p *placement.Placement, _ permitTimes, i int) { p.Rest(start, id(i), time.Hour) },
 	} {
 		b.Run(name, func(b *testing.B) {
-			o := opening{}
+			o := permitTimes{}
 			p := placement.New("h", placement.WithLimits(o), placement.WithSenders("n0", func(time.Time) []string { return names }))
 			p.SetColdLimit("p", coldMost)
 			for i := range engines {
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -34,7 +34,7 @@
 		NeedRoom       bool     // NeedRoom says that an engine with a place free goes before all others.
 		Unlimited      bool     // Unlimited says that engines which have named a limit don't count.
 
-		tight bool // tight says that it is a stream which is kept from long prompts.
+		gapSensitive bool // tight says that it is a stream which is kept from long prompts.
 	}
 
 	// Choice is the engine that was chosen, and why.
@@ -67,23 +67,23 @@
 	// Placement knows all engines and chooses among them. Its methods may be
 	// called from many goroutines.
 	Placement struct {
-		hall    string
-		regions map[string]string       // regions are those of halls.
-		unheard func(now time.Time) int // unheard returns how many nodes may have begun work of which this one has not heard.
-		limits  Limits
+		hall        string
+		regions     map[string]string       // regions are those of halls.
+		unseenNodes func(now time.Time) int // unheard returns how many nodes may have begun work of which this one has not heard.
+		limits      Limits
 
-		mu        sync.Mutex
-		engines   map[string]*engine
-		evacuated map[string]bool // evacuated holds the halls whose engines get no new requests.
-		pools     map[string]*pool
-		changed   bool // changed says that the pools' lists of engines are out of date.
-		cache     cache
-		senders   senders
-		ranking   ranking
-		rests     map[string]*rest          // rests are the rests that engines asked this node for.
-		told      map[string][]string       // told holds the engines at which each peer last told of work.
-		uses      []Use                     // uses since the last call of TakeUses
-		work      map[string]scaling.Demand // work is the reading that this node gave to the engines of a pool so far, in milliseconds.
+		mu          sync.Mutex
+		engines     map[string]*engine
+		evacuated   map[string]bool // evacuated holds the halls whose engines get no new requests.
+		pools       map[string]*pool
+		changed     bool // changed says that the pools' lists of engines are out of date.
+		cache       cache
+		senders     senders
+		ranking     ranking
+		backoffs    map[string]*backoff       // rests are the rests that engines asked this node for.
+		peerEngines map[string][]string       // told holds the engines at which each peer last told of work.
+		uses        []Use                     // uses since the last call of TakeUses
+		work        map[string]scaling.Demand // work is the reading that this node gave to the engines of a pool so far, in milliseconds.
 	}
 )
 
@@ -93,14 +93,14 @@
 // WithUnheard tells a placement of how many nodes that have begun work it has not heard yet: those that
 // started when this one did.
 func WithUnheard(nodes func(now time.Time) int) Option {
-	return func(p *Placement) { p.unheard = nodes }
+	return func(p *Placement) { p.unseenNodes = nodes }
 }
 
 // New returns a placement for a node in a hall.
 func New(hall string, options ...Option) *Placement {
 	p := &Placement{
-		hall: hall, unheard: func(time.Time) int { return 0 }, limits: noLimits{}, senders: senders{names: func(time.Time) []string { return nil }},
-		engines: map[string]*engine{}, evacuated: map[string]bool{}, pools: map[string]*pool{}, told: map[string][]string{}, rests: map[string]*rest{}, work: map[string]scaling.Demand{}, cache: cache{parts: map[uint64]map[string]time.Time{}},
+		hall: hall, unseenNodes: func(time.Time) int { return 0 }, limits: noLimits{}, senders: senders{names: func(time.Time) []string { return nil }},
+		engines: map[string]*engine{}, evacuated: map[string]bool{}, pools: map[string]*pool{}, peerEngines: map[string][]string{}, backoffs: map[string]*backoff{}, work: map[string]scaling.Demand{}, cache: cache{parts: map[uint64]map[string]time.Time{}},
 	}
 	for _, option := range options {
 		option(p)
@@ -114,7 +114,7 @@
 func (p *Placement) Set(e Engine) (restarted bool) {
 	lost, restarted := p.set(e)
 	for _, c := range lost {
-		c.lose()
+		c.markLost()
 	}
 	return restarted
 }
@@ -134,7 +134,7 @@
 		return nil, false
 	}
 	p.engines[e.ID] = newEngine(e)
-	delete(p.rests, e.ID)
+	delete(p.backoffs, e.ID)
 	p.cache.forget(e.ID)
 	p.uses = slices.DeleteFunc(p.uses, func(u Use) bool { return u.Engine == e.ID })
 	return slices.Collect(maps.Keys(known.calls)), true
@@ -182,30 +182,30 @@
 // by hash, so that all nodes keep the same engines for streams.
 func (p *Placement) pool(name string) *pool {
 	if p.changed {
-		p.sortPools()
+		p.rebuildPools()
 	}
-	return p.knownPool(name)
+	return p.poolState(name)
 }
 
-// knownPool returns what is known of a pool, which is nothing at first.
-func (p *Placement) knownPool(name string) *pool {
+// poolState returns what is known of a pool, which is nothing at first.
+func (p *Placement) poolState(name string) *pool {
 	known := p.pools[name]
 	if known == nil {
-		known = &pool{pauses: pauses{}}
+		known = &pool{gaps: gapStats{}}
 		p.pools[name] = known
 	}
 	return known
 }
 
-// sortPools rebuilds the lists of engines by pool.
-func (p *Placement) sortPools() {
+// rebuildPools rebuilds the lists of engines by pool.
+func (p *Placement) rebuildPools() {
 	p.changed = false
 	for _, known := range p.pools {
 		known.engines = nil
 	}
 	for _, e := range p.engines {
 		if !e.Draining && !p.evacuated[e.Hall] {
-			known := p.knownPool(e.Pool)
+			known := p.poolState(e.Pool)
 			known.engines = append(known.engines, e)
 		}
 	}
@@ -213,7 +213,7 @@
 		list := known.engines
 		sort.Slice(list, func(i, j int) bool { return list[i].hash < list[j].hash })
 		for i, e := range list {
-			e.order = i
+			e.poolIndex = i
 		}
 	}
 }
@@ -224,20 +224,20 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	known := p.pool(r.Pool)
-	known.learnUsual(now)
-	known.survey(now, p.unheard(now), p.heldBack)
-	r.tight = known.tight(r)
+	known.refreshMedians(now)
+	known.refreshOccupancy(now, p.unseenNodes(now), p.throttled)
+	r.gapSensitive = known.gapSensitive(r)
 	var first time.Time // first is when the first engine may be sent to that may not be now.
 	best := math.Inf(1)
 	for rank, e := range p.ranking.order(known.engines, r.Prompt.Session()) {
-		if known.leastCost(r, rank) >= best {
+		if known.minCost(r, rank) >= best {
 			break // No engine after this one costs less.
 		}
-		if r.Avoid[e.ID] || !p.allows(r, e) || !p.bears(now, known, e) {
+		if r.Avoid[e.ID] || !p.regionAllowed(r, e) || !p.allowsCold(now, known, e) {
 			continue
 		}
 		at, limited := p.limits.Opens(e.ID)
-		if rested := p.rested(now, e.ID); rested.After(at) {
+		if rested := p.backoffUntil(now, e.ID); rested.After(at) {
 			at = rested
 		}
 		if now.Before(at) || limited && r.Unlimited {
@@ -246,13 +246,13 @@
 			}
 			continue
 		}
-		c := p.weigh(now, known, e, r, max(0, e.order-known.gather), rank)
+		c := p.evaluate(now, known, e, r, max(0, e.poolIndex-known.streamEngines), rank)
 		c.Limited = limited
 		if c.Cost < best {
 			best, choice, ok = c.Cost, c, true
 		}
 	}
-	choice.Engines, choice.Free = len(known.engines), known.free
+	choice.Engines, choice.Free = len(known.engines), known.usable
 	if !ok {
 		choice.Opens = first
 	}
--- a/internal/placement/pool.go
+++ b/internal/placement/pool.go
@@ -6,63 +6,63 @@
 )
 
 const (
-	// usualLife is how long the medians over a pool's engines are used before they are
+	// mediansTTL is how long the medians over a pool's engines are used before they are
 	// worked out again: learning takes some requests, which are rarer.
-	usualLife = 50 * time.Millisecond
+	mediansTTL = 50 * time.Millisecond
 
-	// readShare is the weight of the newest request in the shares of what engines read; about
+	// prefillSmoothing is the weight of the newest request in the shares of what engines read; about
 	// the last 200 count, some seconds of a node's requests.
-	readShare = 0.005
+	prefillSmoothing = 0.005
 
-	// unheardWeight is for how many streams each one counts that unheard nodes may have begun: nodes that do not see each
+	// unseenNodeWeight is for how many streams each one counts that unheard nodes may have begun: nodes that do not see each
 	// other's work choose their engines by chance, and some engines get many more than the mean. Of 48 nodes that
 	// start together with two streams each, 28 streams stood at one of 112 engines of 12 places without it.
-	unheardWeight = 2
+	unseenNodeWeight = 2
 
-	// readPrior is how many tokens of other requests are taken for granted, so that the first
+	// prefillPrior is how many tokens of other requests are taken for granted, so that the first
 	// streams of all do not spread over all engines: what one engine reads in a second.
-	readPrior = 50000.0
+	prefillPrior = 50000.0
 )
 
 // pool is what is known of a pool's engines together.
 type pool struct {
-	engines []*engine // engines that take new work, in the order in which streams gather on them
-	gather  int       // gather is on how many engines, from the first, streams gather that are kept apart
-	pauses  pauses    // pauses are of streams on the other engines
+	engines       []*engine // engines that take new work, in the order in which streams gather on them
+	streamEngines int       // gather is on how many engines, from the first, streams gather that are kept apart
+	gaps          gapStats  // pauses are of streams on the other engines
 
-	// tightest is the shortest pause that callers of streams bear which engines make late
+	// minStreamGap is the shortest pause that callers of streams bear which engines make late
 	// while they read long prompts; 0 if there are no such streams.
-	tightest time.Duration
-
-	// read is how many tokens this node's newest requests gave engines to read, newer ones
-	// weighing more, and readTight the part of streams that are kept apart.
-	read, readTight float64
-
-	coldLimit float64 // coldLimit is how many requests a cold engine bears in a second; 0 for any number.
-	blind     bool    // blind says that nodes were not heard which may have begun work.
-	taken     float64 // taken is the share of the pool's places that is taken, as far as is known.
-	free      int     // free is how many engines are not held back by a limit or by rest.
-	usualAt   time.Time
-	usualRead float64 // usualRead is the median rate, in tokens a millisecond.
-	usualPace float64 // usualPace is the median pace, at least 1.
+	minStreamGap time.Duration
+
+	// totalPrefill is how many tokens this node's newest requests gave engines to totalPrefill, newer ones
+	// weighing more, and streamPrefill the part of streams that are kept apart.
+	totalPrefill, streamPrefill float64
+
+	coldLimit         float64 // coldLimit is how many requests a cold engine bears in a second; 0 for any number.
+	partialView       bool    // blind says that nodes were not heard which may have begun work.
+	occupancy         float64 // taken is the share of the pool's places that is taken, as far as is known.
+	usable            int     // free is how many engines are not held back by a limit or by rest.
+	mediansAt         time.Time
+	medianPrefillRate float64 // usualRead is the median rate, in tokens a millisecond.
+	medianPace        float64 // usualPace is the median pace, at least 1.
 }
 
-// learnUsual works out the medians over the engines, unless that was done lately.
-func (p *pool) learnUsual(now time.Time) {
-	if age := now.Sub(p.usualAt); age >= 0 && age < usualLife && p.usualRead > 0 {
+// refreshMedians works out the medians over the engines, unless that was done lately.
+func (p *pool) refreshMedians(now time.Time) {
+	if age := now.Sub(p.mediansAt); age >= 0 && age < mediansTTL && p.medianPrefillRate > 0 {
 		return
 	}
-	p.usualAt = now
+	p.mediansAt = now
 	rates := make([]float64, 0, len(p.engines))
 	paces := make([]float64, 0, len(p.engines))
 	for _, e := range p.engines {
-		if e.reading.tokens >= readLeast {
-			rates = append(rates, e.reading.tokens/e.reading.ms)
+		if e.prefill.tokens >= minSampleTokens {
+			rates = append(rates, e.prefill.tokens/e.prefill.ms)
 		}
 		paces = append(paces, max(1, e.pace.ratio))
 	}
-	p.usualPace = median(paces, 1)
-	p.usualRead = median(rates, p.usual())
+	p.medianPace = median(paces, 1)
+	p.medianPrefillRate = median(rates, p.prefillRate())
 }
 
 // median returns the lower median, or a value that stands in for none.
@@ -74,29 +74,29 @@
 	return values[(len(values)-1)/2]
 }
 
-// usual returns the usual rate of the pool's engines, in tokens a millisecond.
-func (p *pool) usual() float64 {
-	if p.usualRead == 0 {
-		return firstRead
+// prefillRate returns the prefillRate rate of the pool's engines, in tokens a millisecond.
+func (p *pool) prefillRate() float64 {
+	if p.medianPrefillRate == 0 {
+		return defaultPrefillRate
 	}
-	return p.usualRead
+	return p.medianPrefillRate
 }
 
-// noteTight takes the pause that the caller of a stream bears which is kept apart.
-func (p *pool) noteTight(gap time.Duration) {
-	if p.tightest == 0 || gap < p.tightest {
-		p.tightest = gap
+// noteStreamGap takes the pause that the caller of a stream bears which is kept apart.
+func (p *pool) noteStreamGap(gap time.Duration) {
+	if p.minStreamGap == 0 || gap < p.minStreamGap {
+		p.minStreamGap = gap
 	}
 }
 
-// survey works out which share of the pool's places is taken, and on how many of its
+// refreshOccupancy works out which share of the pool's places is taken, and on how many of its
 // engines streams gather: enough for those that run and one more, and for the prompts that
 // they bring. They are spread over these, so that nodes which do not see each other's last
 // requests do not all choose one. Nodes that have not been heard are taken to have as many as this one, and to
 // add to them when it does. The places of engines that are held back don't count.
-func (p *pool) survey(now time.Time, unheard int, heldBack func(now time.Time, e *engine) bool) {
-	streams, own, requests, places, most := 0, 1, 0, 0, streamsEach
-	p.free = 0
+func (p *pool) refreshOccupancy(now time.Time, unheard int, heldBack func(now time.Time, e *engine) bool) {
+	streams, own, requests, places, most := 0, 1, 0, 0, maxStreamsPerEngine
+	p.usable = 0
 	for _, e := range p.engines {
 		load := e.load(now)
 		streams += load.Streams
@@ -104,32 +104,32 @@
 		if heldBack(now, e) {
 			continue
 		}
-		p.free++
+		p.usable++
 		if e.Slots > 0 {
 			requests += load.InFlight
 			places += e.Slots
-			most = min(most, max(1, int(streamsShare*float64(e.Slots))))
+			most = min(most, max(1, int(maxStreamSlots*float64(e.Slots))))
 		}
 	}
-	p.taken = float64(requests) / float64(max(1, places))
-	streams += unheardWeight * unheard * own
-	p.blind = unheard > 0
-	p.gather = max(1+streams/most, p.fairGather())
+	p.occupancy = float64(requests) / float64(max(1, places))
+	streams += unseenNodeWeight * unheard * own
+	p.partialView = unheard > 0
+	p.streamEngines = max(1+streams/most, p.fairStreamEngines())
 }
 
-// noteRead takes a request with the tokens that an engine has to read for it.
-func (p *pool) noteRead(tokens int, tight bool) {
-	p.read = p.read*(1-readShare) + float64(tokens)
-	p.readTight *= 1 - readShare
+// notePrefill takes a request with the tokens that an engine has to read for it.
+func (p *pool) notePrefill(tokens int, tight bool) {
+	p.totalPrefill = p.totalPrefill*(1-prefillSmoothing) + float64(tokens)
+	p.streamPrefill *= 1 - prefillSmoothing
 	if tight {
-		p.readTight += float64(tokens)
+		p.streamPrefill += float64(tokens)
 	}
 }
 
-// fairGather returns on how many engines streams gather so that these read no more than
+// fairStreamEngines returns on how many engines streams gather so that these read no more than
 // the others, since streams pause while others' prompts are read. With 204 engines, 800
 // streams a second and 1,000 long prompts they gathered by their number on 21 engines on the
 // mean; the streams that bear pauses of 400 ms earned 0.781 of their worth then, and 0.860 so.
-func (p *pool) fairGather() int {
-	return int(p.readTight / (p.read + readPrior) * float64(len(p.engines)))
+func (p *pool) fairStreamEngines() int {
+	return int(p.streamPrefill / (p.totalPrefill + prefillPrior) * float64(len(p.engines)))
 }
--- a/internal/placement/present.go
+++ b/internal/placement/present.go
@@ -34,9 +34,9 @@
 	return out
 }
 
-// noteWork counts how long an engine takes to read the prompt of a request that is sent, in milliseconds. The caller holds the
+// addWork counts how long an engine takes to read the prompt of a request that is sent, in milliseconds. The caller holds the
 // lock.
-func (p *Placement) noteWork(r Request, ms float64) {
+func (p *Placement) addWork(r Request, ms float64) {
 	w := p.work[r.Pool]
 	w.All += ms
 	if !r.Lowest {
--- a/internal/placement/regions.go
+++ b/internal/placement/regions.go
@@ -8,8 +8,8 @@
 	return func(p *Placement) { p.regions = byHall }
 }
 
-// allows reports whether a request may be served where an engine stands.
-func (p *Placement) allows(r Request, e *engine) bool {
+// regionAllowed reports whether a request may be served where an engine stands.
+func (p *Placement) regionAllowed(r Request, e *engine) bool {
 	if !r.Bound {
 		return true
 	}
--- a/internal/placement/replay_test.go
+++ b/internal/placement/replay_test.go
@@ -23,16 +23,16 @@
 type (
 	// replayed is one request on its way.
 	replayed struct {
-		call   *placement.Call
-		kind   *kindOf
-		order  int // order is that in which engines read prompts, the highest first.
-		sent   time.Time
-		unread float64
-		first  time.Time
-		ends   time.Time
-		held   int     // held counts ticks in a row in which its engine read prompts, or since the last event
-		step   float64 // step is how far it is with the steps of its next event
-		late   bool
+		call      *placement.Call
+		kind      *requestKind
+		order     int // order is that in which engines read prompts, the highest first.
+		sent      time.Time
+		unread    float64
+		first     time.Time
+		ends      time.Time
+		heldTicks int     // held counts ticks in a row in which its engine read prompts, or since the last event
+		step      float64 // step is how far it is with the steps of its next event
+		late      bool
 	}
 
 	// replayEngine is a model of one engine.
@@ -41,8 +41,8 @@
 		cached           map[uint64]bool
 	}
 
-	// kindOf is a kind of request: how many a second, its prompt, its target.
-	kindOf struct {
+	// requestKind is a kind of request: how many a second, its prompt, its target.
+	requestKind struct {
 		name           string
 		perSecond      float64
 		roots, session int // numbers of shared first and second parts
@@ -63,7 +63,7 @@
 		engines, nodes int
 		seconds        int
 		burst          float64 // burst is how many times as many there are of the first kind.
-		kinds          []kindOf
+		kinds          []requestKind
 	}
 
 	// outcome counts what became of the requests of a kind.
@@ -71,7 +71,7 @@
 )
 
 var (
-	fewEngines = []kindOf{
+	fewEngines = []requestKind{
 		{"long", 25, 4, 117, 2520, 3780, 2890, 1200 * time.Millisecond, 300 * time.Millisecond, 0, 0},
 		{"brief", 15.5, 8, 109, 341, 227, 1800, 500 * time.Millisecond, 150 * time.Millisecond, 0, 0},
 		{"answer", 11.8, 8, 55, 103, 69, 543, 300 * time.Millisecond, 1600 * time.Millisecond, 250 * time.Millisecond, 0},
@@ -79,14 +79,14 @@
 
 	// briefBesideLong has short answers of an event or two beside answers of twenty, and more
 	// to read than fits between the latter where both gather on the same engines.
-	briefBesideLong = []kindOf{
+	briefBesideLong = []requestKind{
 		{"long", 70, 4, 260, 2520, 3780, 2890, 1500 * time.Millisecond, 150 * time.Millisecond, 0, 0},
 		{"brief", 50, 32, 240, 341, 227, 1800, 500 * time.Millisecond, 100 * time.Millisecond, 600 * time.Millisecond, 12},
 		{"answer", 20, 32, 100, 103, 69, 543, 300 * time.Millisecond, 1600 * time.Millisecond, 400 * time.Millisecond, 12},
 	}
 
 	// manyEngines has so many short prompts of streams that they are a fifth of what is read.
-	manyEngines = []kindOf{
+	manyEngines = []requestKind{
 		{"long", 150, 4, 780, 2520, 3780, 2890, 1500 * time.Millisecond, 150 * time.Millisecond, 0, 0},
 		{"brief", 93, 32, 720, 341, 227, 1800, 500 * time.Millisecond, 100 * time.Millisecond, 600 * time.Millisecond, 12},
 		{"answer", 57, 32, 300, 103, 69, 543, 300 * time.Millisecond, 1600 * time.Millisecond, 400 * time.Millisecond, 12},
@@ -94,7 +94,7 @@
 )
 
 // events returns how many events an answer has while its engine reads nothing.
-func (k *kindOf) events() int {
+func (k *requestKind) events() int {
 	return int(k.length / (replayTick * time.Duration(max(1, k.eventSteps))))
 }
 
@@ -163,7 +163,7 @@
 			e.step(now, out)
 		}
 		if now.Sub(start)%replayGossip == 0 {
-			tell(now, nodes)
+			gossip(now, nodes)
 		}
 	}
 	return out, reread
@@ -171,7 +171,7 @@
 
 // arrive places one request of a kind and returns the shared tokens that are read again.
 // Engines read those of a higher order first.
-func arrive(now time.Time, rnd *rand.Rand, p *placement.Placement, engines map[string]*replayEngine, kind *kindOf, order int) (reread int) {
+func arrive(now time.Time, rnd *rand.Rand, p *placement.Placement, engines map[string]*replayEngine, kind *requestKind, order int) (reread int) {
 	session := rnd.IntN(kind.session)
 	parts := []placement.Part{
 		placement.NewPart(fmt.Sprint(kind.name, "root", session%kind.roots), kind.rootTokens),
@@ -222,7 +222,7 @@
 	}
 	var left []*replayed
 	for _, x := range e.running {
-		x.goOn(now, reading)
+		x.advance(now, reading)
 		if now.Before(x.ends) {
 			left = append(left, x)
 			continue
@@ -238,10 +238,10 @@
 	e.running = left
 }
 
-// goOn lets a running stream go on for a tick, in which its engine reads prompts or not.
-func (x *replayed) goOn(now time.Time, reading bool) {
-	x.held++
-	event := x.held%eventTicks == 0
+// advance lets a running stream go on for a tick, in which its engine reads prompts or not.
+func (x *replayed) advance(now time.Time, reading bool) {
+	x.heldTicks++
+	event := x.heldTicks%eventTicks == 0
 	if x.kind.eventSteps > 0 {
 		x.step += 1.0 / slowStep
 		if !reading {
@@ -249,20 +249,20 @@
 		}
 		event = x.step >= float64(x.kind.eventSteps)
 	} else if !reading {
-		x.held = 0
+		x.heldTicks = 0
 		event = true
 	}
-	x.late = x.late || x.kind.maxGap > 0 && x.held > int(x.kind.maxGap/replayTick)
+	x.late = x.late || x.kind.maxGap > 0 && x.heldTicks > int(x.kind.maxGap/replayTick)
 	if event && now.Before(x.ends) {
 		x.call.Heard(now)
 	}
 	if event && x.kind.eventSteps > 0 {
-		x.step, x.held = 0, 0
+		x.step, x.heldTicks = 0, 0
 	}
 }
 
-// tell lets every node tell every other of its work.
-func tell(now time.Time, nodes []*placement.Placement) {
+// gossip lets every node gossip every other of its work.
+func gossip(now time.Time, nodes []*placement.Placement) {
 	for i, from := range nodes {
 		loads, uses := from.Loads(), from.TakeUses()
 		for j, to := range nodes {
--- a/internal/placement/weigh.go
+++ b/internal/placement/weigh.go
@@ -5,9 +5,9 @@
 )
 
 const (
-	// callCost is what each request in flight at an engine costs another, in
+	// inFlightCost is what each request in flight at an engine costs another, in
 	// milliseconds: batches with more requests take longer for each token.
-	callCost = 2.0
+	inFlightCost = 2.0
 
 	// waitingCost is what each request costs that the engine said was waiting, in
 	// milliseconds: about the time until a place is free.
@@ -24,39 +24,39 @@
 	rankCost    = 8.0
 	rankEngines = 1000
 
-	// rereadWeight is how much more a token weighs that the engine has to read
+	// prefillWeight is how much more a token weighs that the engine has to read
 	// than its reading takes: other engines may have it cached, and what is read
 	// twice takes that time from others.
-	rereadWeight = 6.0
+	prefillWeight = 6.0
 
-	// gatherCost makes streams that long prompts would make late gather on few
+	// spreadCost makes streams that long prompts would make late gather on few
 	// engines, in milliseconds for each engine beyond these in the pool's order, so
 	// that the others may read long prompts one after another.
-	gatherCost = 80.0
+	spreadCost = 80.0
 
-	// gatherMost is the most engines beyond that weigh: a place that is free weighs more.
-	gatherMost = 5
+	// maxSpread is the most engines beyond that weigh: a place that is free weighs more.
+	maxSpread = 5
 
-	// streamsEach is how many streams gather on one engine, and streamsShare the share of
+	// maxStreamsPerEngine is how many streams gather on one engine, and streamsShare the share of
 	// its places that they take at most. Mean worth over four seeds with 24, 36, 48 and 80
 	// on engines of 64 places: 0.644, 0.655, 0.668, 0.663: what gathers on fewer leaves
 	// more engines to long prompts.
-	streamsEach  = 48
-	streamsShare = 0.75
+	maxStreamsPerEngine = 48
+	maxStreamSlots      = 0.75
 
-	// bearableShare is the share of the longest pause that a stream's caller bears in
+	// backlogGapShare is the share of the longest pause that a stream's caller bears in
 	// which an engine should be able to read all that waits there; the rest is for what
 	// other nodes send it meanwhile.
-	bearableShare = 0.3
+	backlogGapShare = 0.3
 
-	// lateCost is what it costs a stream to be made late, in milliseconds, and spoilCost
+	// lateStreamCost is what it costs a stream to be made late, in milliseconds, and spoilCost
 	// what it costs to make many late.
-	lateCost  = 3000.0
-	spoilCost = 1200.0
+	lateStreamCost   = 3000.0
+	delayStreamsCost = 1200.0
 
-	// manyStreams is how many streams at an engine weigh as much as can be; with
+	// maxWeightedStreams is how many streams at an engine weigh as much as can be; with
 	// ten instead of three, prompts queued where a few streams ran.
-	manyStreams = 3.0
+	maxWeightedStreams = 3.0
 
 	// failureCost is what an engine costs whose requests all failed lately, in
 	// milliseconds; it is weighed by the share that failed.
@@ -66,13 +66,13 @@
 	// milliseconds; more so the slower it is. Most of a stream's time is lost there.
 	slowCost = 300.0
 
-	// bearableSlowness is how much slower than its pool an engine may be: engines
+	// toleratedSlowness is how much slower than its pool an engine may be: engines
 	// of a pool differ, and what is expected is not exact.
-	bearableSlowness = 2.0
+	toleratedSlowness = 2.0
 
-	// silenceBefore is how long an engine may send nothing, while it has requests
+	// silenceTimeout is how long an engine may send nothing, while it has requests
 	// of this node, before it is avoided.
-	silenceBefore = 600 * time.Millisecond
+	silenceTimeout = 600 * time.Millisecond
 
 	// silenceCost is what a silent engine costs, in milliseconds.
 	silenceCost = 2000.0
@@ -84,65 +84,65 @@
 	// counted, 19 of them while less urgent ones ran on, and 7 where the engine counts as well.
 	scarceShare = 0.7
 
-	// lackingShare is the share of a pool's places from which requests wait at their node
+	// waitingShare is the share of a pool's places from which requests wait at their node
 	// for one. Where others are free, an engine that seems full is used all the same: with
 	// many nodes what is known of it is old. Mean worth with 112 engines of 12 places and 87
 	// nodes, one play each: 0.609 with waits wherever an engine seemed full, 0.678 so and with
 	// the present spoilCost.
-	lackingShare = 0.85
+	waitingShare = 0.85
 
-	// lastShare is the share of a pool's places from which lower tiers leave the rest to the
+	// reservedShare is the share of a pool's places from which lower tiers leave the rest to the
 	// highest: what they began keeps its place for seconds. Where 12 places an engine lacked
 	// all day, 18 of 192 short questions got nothing while reviews had begun without it; from
 	// 0.78 and from 0.7 on the rule held on five days of five, with a worth of 0.037 and 0.032.
-	lastShare = 0.78
+	reservedShare = 0.78
 
-	// fullCost is what an engine costs that has as many requests as places, in
+	// overloadCost is what an engine costs that has as many requests as places, in
 	// milliseconds; more so for each that is over. With 3,000 prompts were read again
 	// elsewhere for the sake of a place that was soon free (worth 0.56 to 0.59).
-	fullCost = 200.0
+	overloadCost = 200.0
 
-	// noRoomCost is more than all else together, in milliseconds.
-	noRoomCost = 1e6
+	// noSlotCost is more than all else together, in milliseconds.
+	noSlotCost = 1e6
 )
 
-// weigh works out the cost of a request at an engine.
-func (p *Placement) weigh(now time.Time, known *pool, e *engine, r Request, beyond, rank int) Choice {
+// evaluate works out the cost of a request at an engine.
+func (p *Placement) evaluate(now time.Time, known *pool, e *engine, r Request, beyond, rank int) Choice {
 	load := e.load(now)
-	c := Choice{Engine: e.Engine, Read: known.usualRead}
+	c := Choice{Engine: e.Engine, Read: known.medianPrefillRate}
 	if r.Prompt.Tokens > 0 {
-		c.Unread = p.cache.unread(now, e.ID, r.Prompt)
+		c.Unread = p.cache.uncachedTokens(now, e.ID, r.Prompt)
 		c.Ahead = load.Unread + c.Unread
 		c.Wait = float64(c.Ahead) / c.Read
-		c.Tight = r.tight
-		c.Cost += known.leastCost(r, rank)
+		c.Tight = r.gapSensitive
+		c.Cost += known.minCost(r, rank)
 		c.Cost += known.lateness(load, c, r, beyond)
 	}
-	c.Cost += rereadWeight * float64(c.Unread) / c.Read
-	c.Cost += c.Wait + callCost*float64(load.InFlight) + waitingCost*float64(e.waiting(now))
-	c.Room = e.Slots <= 0 || load.InFlight < e.Slots || known.taken < lackingShare
-	c.Scarce = e.Slots > 0 && (known.blind || known.taken >= scarceShare || float64(load.InFlight) >= scarceShare*float64(e.Slots))
-	c.Last = e.Slots > 0 && known.taken >= lastShare
+	c.Cost += prefillWeight * float64(c.Unread) / c.Read
+	c.Cost += c.Wait + inFlightCost*float64(load.InFlight) + waitingCost*float64(e.waiting(now))
+	c.Room = e.Slots <= 0 || load.InFlight < e.Slots || known.occupancy < waitingShare
+	c.Scarce = e.Slots > 0 && (known.partialView || known.occupancy >= scarceShare || float64(load.InFlight) >= scarceShare*float64(e.Slots))
+	c.Last = e.Slots > 0 && known.occupancy >= reservedShare
 	if over := load.InFlight - e.Slots; e.Slots > 0 && over >= 0 {
-		c.Cost += fullCost * float64(1+over)
+		c.Cost += overloadCost * float64(1+over)
 		if r.NeedRoom && !c.Room {
-			c.Cost += noRoomCost
+			c.Cost += noSlotCost
 		}
 	}
 	if e.Hall != p.hall {
 		c.Cost += hallCost
 	}
 	c.Cost += failureCost * e.failures.share(now)
-	c.Cost += slowCost * max(0, e.pace.slowness(now, known.usualPace)-bearableSlowness)
-	if e.own.InFlight > 0 && now.Sub(e.heardAt) > silenceBefore {
+	c.Cost += slowCost * max(0, e.pace.slowness(now, known.medianPace)-toleratedSlowness)
+	if e.own.InFlight > 0 && now.Sub(e.lastData) > silenceTimeout {
 		c.Cost += silenceCost
 	}
 	return c
 }
 
-// leastCost returns what a request costs at an engine by its rank alone; all else that is
+// minCost returns what a request costs at an engine by its rank alone; all else that is
 // weighed adds to it.
-func (p *pool) leastCost(r Request, rank int) float64 {
+func (p *pool) minCost(r Request, rank int) float64 {
 	if r.Prompt.Tokens == 0 {
 		return 0
 	}
@@ -154,18 +154,18 @@
 // tells how far the engine lies beyond those on which they do.
 func (p *pool) lateness(load Load, c Choice, r Request, beyond int) float64 {
 	if c.Tight {
-		return gatherCost*float64(min(beyond, gatherMost)) + lateCost*excess(c, milliseconds(r.MaxGap))
+		return spreadCost*float64(min(beyond, maxSpread)) + lateStreamCost*excess(c, milliseconds(r.MaxGap))
 	}
-	if load.Streams == 0 || p.tightest == 0 {
+	if load.Streams == 0 || p.minStreamGap == 0 {
 		return 0
 	}
-	return spoilCost * excess(c, milliseconds(p.tightest)) * min(float64(load.Streams), manyStreams) / manyStreams
+	return delayStreamsCost * excess(c, milliseconds(p.minStreamGap)) * min(float64(load.Streams), maxWeightedStreams) / maxWeightedStreams
 }
 
 // excess tells how much more an engine has to read than streams there bear whose
 // callers bear a pause, in milliseconds: 0 for no more, 1 for twice as much.
 func excess(c Choice, gap float64) float64 {
-	bearable := bearableShare * gap * c.Read
+	bearable := backlogGapShare * gap * c.Read
 	return min(max((float64(c.Ahead)-bearable)/bearable, 0), 1)
 }
 
