--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -122,14 +122,14 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	present, known := d.known[e.ID]
-	if known && present.born != 0 && e.Born == 0 {
+	if known && present.born != 0 && e.Incarnation == 0 {
 		return false, errNotBorn
 	}
-	if known && present.born != e.Born {
-		d.log.Info("engine started again", "engine", e.ID, "born", e.Born, "before", present.born, "version", r.Version)
+	if known && present.born != e.Incarnation {
+		d.log.Info("engine started again", "engine", e.ID, "born", e.Incarnation, "before", present.born, "version", r.Version)
 	}
-	if !known || present.born != e.Born {
-		present = incarnation{born: e.Born, since: r.Version}
+	if !known || present.born != e.Incarnation {
+		present = incarnation{born: e.Incarnation, since: r.Version}
 		d.said.Remove(e.ID)
 	}
 	present.draining = present.draining || e.Draining
@@ -137,7 +137,7 @@
 	if !present.saidAt.IsZero() {
 		d.said.Add(e.ID)
 	}
-	e.Draining, e.Since = present.draining, present.since
+	e.Draining, e.SinceVersion = present.draining, present.since
 	delete(d.missing, e.ID)
 	if log {
 		d.log.Info("engine", "engine", e.ID, "pool", e.Pool, "address", e.Address, "hall", e.Hall, "draining", e.Draining, "version", r.Version)
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -122,7 +122,7 @@
 
 // bornEntry returns an entry of an incarnation of an engine; 0 is of one that does not tell.
 func bornEntry(id string, born int64, draining bool, version int64) feed.Row {
-	text, _ := json.Marshal(placement.Engine{ID: id, Born: born, Draining: draining})
+	text, _ := json.Marshal(placement.Engine{ID: id, Incarnation: born, Draining: draining})
 	return feed.Row{Key: id, Value: text, Version: version}
 }
 
@@ -144,12 +144,12 @@
 		draining bool
 		want     placement.Engine
 	}{
-		{100, false, placement.Engine{ID: "e", Born: 100, Since: 1}},
-		{100, true, placement.Engine{ID: "e", Born: 100, Since: 1, Draining: true}},
-		{100, false, placement.Engine{ID: "e", Born: 100, Since: 1, Draining: true}},
-		{50, false, placement.Engine{ID: "e", Born: 50, Since: 4}},
-		{50, false, placement.Engine{ID: "e", Born: 50, Since: 4}},
-		{100, true, placement.Engine{ID: "e", Born: 100, Since: 6, Draining: true}},
+		{100, false, placement.Engine{ID: "e", Incarnation: 100, SinceVersion: 1}},
+		{100, true, placement.Engine{ID: "e", Incarnation: 100, SinceVersion: 1, Draining: true}},
+		{100, false, placement.Engine{ID: "e", Incarnation: 100, SinceVersion: 1, Draining: true}},
+		{50, false, placement.Engine{ID: "e", Incarnation: 50, SinceVersion: 4}},
+		{50, false, placement.Engine{ID: "e", Incarnation: 50, SinceVersion: 4}},
+		{100, true, placement.Engine{ID: "e", Incarnation: 100, SinceVersion: 6, Draining: true}},
 	} {
 		d.Take(start, []feed.Row{bornEntry("e", step.born, step.draining, int64(i+1))})
 		if got["e"] != step.want {
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -267,7 +267,7 @@
 				return respond(http.StatusOK, "fine"), nil
 			}
 			again := a.Engine
-			again.Born++
+			again.Incarnation++
 			if c.withSigns {
 				p.Set(again)
 				return respond(http.StatusOK, "fine"), nil
--- a/internal/dispatch/line.go
+++ b/internal/dispatch/line.go
@@ -216,7 +216,7 @@
 // mayBegin reports whether the request may take a place at an engine. Lower tiers leave the
 // last places of a pool to the highest: those that have begun keep theirs for seconds.
 func (w *walk) mayBegin(c placement.Choice) bool {
-	return c.Room && !(c.Last && !w.highest)
+	return c.SlotAvailable && !(c.SlotsReserved && !w.highest)
 }
 
 // comeBack returns when a caller should come back that found no place: as late as it can,
@@ -249,13 +249,13 @@
 func (w *walk) hold(ctx context.Context, begin time.Time, l *line, place *waiter, limit time.Duration, request placement.Request) bool {
 	for now := begin; now.Sub(begin) < limit && ctx.Err() == nil; now = clock.Now() {
 		if l.first(place) {
-			request.NeedRoom = now.Sub(begin) > preferredWait
+			request.NeedSlot = now.Sub(begin) > preferredWait
 			choice, ok := w.place(now, request)
 			if ok && w.mayBegin(choice) {
 				w.choice = choice
 				return true
 			}
-			if !ok && (choice.Engines == 0 || choice.Opens.Sub(begin) > limit) {
+			if !ok && (choice.Engines == 0 || choice.AvailableAt.Sub(begin) > limit) {
 				return false // Nothing is left to wait for.
 			}
 		}
--- a/internal/dispatch/line_test.go
+++ b/internal/dispatch/line_test.go
@@ -22,13 +22,13 @@
 
 // giveWay returns the share of a tier's requests that get nothing.
 func giveWay(l *line, now time.Time, tier int) float64 {
-	_, share := l.standing(now, tier, placement.Choice{Engines: 1, Free: 1, Scarce: true})
+	_, share := l.standing(now, tier, placement.Choice{Engines: 1, Usable: 1, SlotsScarce: true})
 	return share
 }
 
 // highest reports whether the pool serves no tier above one.
 func highest(l *line, now time.Time, tier int) bool {
-	is, _ := l.standing(now, tier, placement.Choice{Engines: 1, Free: 1, Scarce: true})
+	is, _ := l.standing(now, tier, placement.Choice{Engines: 1, Usable: 1, SlotsScarce: true})
 	return is
 }
 
@@ -163,8 +163,8 @@
 			l.count(begin, tier, true, true)
 		}
 		l.peers["peer"] = told{places: peer.places(begin), at: begin}
-		_, middle := l.standing(begin, 1, placement.Choice{Engines: engines, Free: engines})
-		_, lowest := l.standing(begin, 2, placement.Choice{Engines: engines, Free: engines})
+		_, middle := l.standing(begin, 1, placement.Choice{Engines: engines, Usable: engines})
+		_, lowest := l.standing(begin, 2, placement.Choice{Engines: engines, Usable: engines})
 		if math.Abs(middle-c.wantMiddle) > 0.01 || math.Abs(lowest-c.wantLowest) > 0.01 {
 			t.Errorf("%s: %.2f of the middle tier and %.2f of the lowest give way, want %.2f and %.2f", c.name, middle, lowest, c.wantMiddle, c.wantLowest)
 		}
@@ -180,7 +180,7 @@
 			for range 20 {
 				l.count(begin, 0, placed, false)
 			}
-			_, got := l.standing(begin, 1, placement.Choice{Engines: 1, Free: 1, Scarce: scarce})
+			_, got := l.standing(begin, 1, placement.Choice{Engines: 1, Usable: 1, SlotsScarce: scarce})
 			if want := scarce || !placed; (got == 1) != want {
 				t.Errorf("got places: %v, scarce: %v: %.2f of a lower tier give way", placed, scarce, got)
 			}
--- a/internal/dispatch/permit.go
+++ b/internal/dispatch/permit.go
@@ -50,13 +50,13 @@
 func (w *walk) takePermit(ctx context.Context, request placement.Request) *Refusal {
 	for try := 1; w.choice.Limited && w.d.permits != nil; try++ {
 		now := clock.Now()
-		request.Unlimited = true
+		request.ExcludeLimited = true
 		other, exempt := w.d.placement.Choose(now, request)
 		if exempt && try > permitTries {
 			w.choice = other
 			return nil
 		}
-		longest, left := time.Duration(0), w.choice.Opens.Sub(now)
+		longest, left := time.Duration(0), w.choice.AvailableAt.Sub(now)
 		if !exempt {
 			longest = w.bearsPermit(now)
 		}
@@ -66,7 +66,7 @@
 		if w.askPermit(ctx, now, longest) {
 			return w.mayStillSend(ctx)
 		}
-		request.Unlimited = false
+		request.ExcludeLimited = false
 		now = clock.Now()
 		choice, ok := w.place(now, request)
 		if !ok {
--- a/internal/dispatch/reading.go
+++ b/internal/dispatch/reading.go
@@ -22,10 +22,10 @@
 
 // readingTime returns how long an engine takes to read what it has not cached of a prompt.
 func readingTime(c placement.Choice) time.Duration {
-	if c.Read <= 0 {
+	if c.PrefillRate <= 0 {
 		return 0
 	}
-	return time.Duration(float64(c.Unread) / c.Read * float64(time.Millisecond))
+	return time.Duration(float64(c.PrefillTokens) / c.PrefillRate * float64(time.Millisecond))
 }
 
 // beyondReading returns the share of a tier's requests of which a pool's engines can't read the prompts besides those of
--- a/internal/dispatch/relay.go
+++ b/internal/dispatch/relay.go
@@ -36,7 +36,7 @@
 	w.noteHead(now, resp)
 	switch {
 	case resp.Replaced:
-		w.call.End(now, placement.Turned)
+		w.call.End(now, placement.Rejected)
 		w.d.placement.Remove(w.choice.Engine.ID)
 		return w.turned(now, errors.New("another engine has the address"))
 	case resp.NotRun:
@@ -100,9 +100,9 @@
 // turnedAs returns what it tells of an engine that it turned a request away.
 func turnedAs(resp *Response) placement.Outcome {
 	if resp.Rest > 0 {
-		return placement.Asked
+		return placement.Throttled
 	}
-	return placement.Turned
+	return placement.Rejected
 }
 
 // relayPlain passes on an answer that is no stream; a short one is read whole first.
@@ -142,7 +142,7 @@
 
 // callerGone records that the caller left, or could not be written to.
 func (w *walk) callerGone(now time.Time) {
-	w.call.End(now, placement.Left)
+	w.call.End(now, placement.Aborted)
 	w.refused = Refusal{Reason: CallerLeft}
 	w.answer.Abort()
 }
--- a/internal/dispatch/resend.go
+++ b/internal/dispatch/resend.go
@@ -56,13 +56,13 @@
 	call := w.call
 	end := func() { cancel(errRestarted) }
 	call.OnLost(func() {
-		quiet := call.Quiet(clock.Now())
+		quiet := call.Idle(clock.Now())
 		if quiet >= restartQuiet {
 			end()
 			return
 		}
 		time.AfterFunc(restartQuiet-quiet, func() {
-			if call.Quiet(clock.Now()) >= restartQuiet {
+			if call.Idle(clock.Now()) >= restartQuiet {
 				end()
 			}
 		})
--- a/internal/dispatch/said.go
+++ b/internal/dispatch/said.go
@@ -25,10 +25,10 @@
 	}
 	if resp.Rest > 0 {
 		w.d.log.Info("engine rests", "request", w.req.ID, "engine", engine, "rest_ms", resp.Rest.Milliseconds(), "status", resp.Status, "not_run", resp.NotRun)
-		w.d.placement.Rest(now, engine, resp.Rest)
+		w.d.placement.BackOff(now, engine, resp.Rest)
 	}
 	if w.d.leavers != nil && resp.Leaving {
-		w.d.leavers.Leaves(now, engine, w.choice.Engine.Born)
+		w.d.leavers.Leaves(now, engine, w.choice.Engine.Incarnation)
 	}
 	if w.d.permits != nil {
 		w.d.permits.Answered(now, w.sentAt, engine, resp.Limit, resp.Limited)
--- a/internal/dispatch/start.go
+++ b/internal/dispatch/start.go
@@ -34,7 +34,7 @@
 
 // hasStarted reports whether this node is able to serve, or was once.
 func (d *Dispatcher) hasStarted(now time.Time) bool {
-	if !d.started.Load() && d.Ready(now) == "" && d.placement.Known() {
+	if !d.started.Load() && d.Ready(now) == "" && d.placement.HasEngines() {
 		d.started.Store(true)
 	}
 	return d.started.Load()
--- a/internal/dispatch/tiers.go
+++ b/internal/dispatch/tiers.go
@@ -177,7 +177,7 @@
 		if !served(all, higher) {
 			continue
 		}
-		lacked := p.lacking(known.Scarce)
+		lacked := p.lacking(known.SlotsScarce)
 		share := float64(lacked) / float64(p.Asked)
 		switch {
 		case lacked < shortLeast:
@@ -189,7 +189,7 @@
 		highest = false
 	}
 	if !highest {
-		giveWay = max(giveWay, beyondReading(all, lineTier(tier), known.Free))
+		giveWay = max(giveWay, beyondReading(all, lineTier(tier), known.Usable))
 	}
 	return highest, giveWay
 }
--- a/internal/dispatch/walk.go
+++ b/internal/dispatch/walk.go
@@ -161,7 +161,7 @@
 // there that take nothing for a time, its caller should come back after it.
 func (w *walk) withoutEngine(now time.Time, none placement.Choice) *Refusal {
 	reason := w.without()
-	left := none.Opens.Sub(now)
+	left := none.AvailableAt.Sub(now)
 	if left <= 0 {
 		return &Refusal{Reason: reason, ComeBack: shortReturn}
 	}
@@ -182,9 +182,9 @@
 
 // placementRequest returns what placement weighs.
 func (w *walk) placementRequest() placement.Request {
-	r := placement.Request{Pool: w.pool, Prompt: w.req.Prompt, Avoid: w.avoid, Lowest: w.route.Tier >= w.d.Table().LowestTier(w.pool)}
+	r := placement.Request{Pool: w.pool, Prompt: w.req.Prompt, Avoid: w.avoid, LowestTier: w.route.Tier >= w.d.Table().LowestTier(w.pool)}
 	regions, everywhere := routing.Regions(w.route, w.team)
-	r.Regions, r.Bound = regions, !everywhere
+	r.Regions, r.RegionBound = regions, !everywhere
 	pool := w.d.Table().Pool(w.pool)
 	if w.route.Kind == routing.Stream && pool != nil && pool.Model != nil {
 		r.MaxGap, r.TokensPerEvent = w.route.MaxGap, pool.Model.TokensPerEvent
@@ -221,7 +221,7 @@
 // what it runs for what is more urgent, which makes the former's streams late and has their
 // prompts read again; who gets a place this node has decided.
 func (w *walk) urgency() int {
-	if w.choice.Scarce {
+	if w.choice.SlotsScarce {
 		return w.d.Table().LastUrgency(w.pool)
 	}
 	return routing.Urgency(w.route, w.team)
@@ -292,7 +292,7 @@
 		w.gap = max(w.gap, now.Sub(w.heard))
 	}
 	w.heard = now
-	w.call.Heard(now)
+	w.call.Received(now)
 }
 
 // end records how the request ended.
@@ -300,8 +300,8 @@
 	outcome := w.outcome()
 	w.d.log.Info("request ended", "request", w.req.ID, "route", w.route.Name, "team", w.teamName(), "urgency", routing.Urgency(w.route, w.team), "pool", w.pool,
 		"outcome", outcome, "status", w.status, "engine", w.choice.Engine.ID, "sent", w.sent, "unsent", w.unsent,
-		"cost_ms", int(w.choice.Cost), "wait_ms", int(w.choice.Wait), "held_ms", w.held.Milliseconds(), "give_way", math.Round(100*w.giveWay)/100, "prompt_tokens", w.req.Prompt.Tokens, "session", w.req.Prompt.Session(), "unread_tokens", w.choice.Unread,
-		"ahead_tokens", w.choice.Ahead, "read_rate", math.Round(10*w.choice.Read)/10, "tight", w.choice.Tight,
+		"cost_ms", int(w.choice.Cost), "wait_ms", int(w.choice.Wait), "held_ms", w.held.Milliseconds(), "give_way", math.Round(100*w.giveWay)/100, "prompt_tokens", w.req.Prompt.Tokens, "session", w.req.Prompt.Session(), "unread_tokens", w.choice.PrefillTokens,
+		"ahead_tokens", w.choice.QueuedTokens, "read_rate", math.Round(10*w.choice.PrefillRate)/10, "tight", w.choice.GapSensitive,
 		"first_ms", w.first.Milliseconds(), "gap_ms", w.gap.Milliseconds(), "total_ms", now.Sub(w.arrived).Milliseconds(), "patience_ms", w.deadline.Sub(w.arrived).Milliseconds(),
 		"engine_limit", w.limit, "permit_ms", w.permitWait.Milliseconds(), "opens_ms", w.opens.Milliseconds(), "target_ms", w.route.Target.Milliseconds(), "longest_gap_ms", w.route.MaxGap.Milliseconds(),
 		"come_back_ms", w.refused.ComeBack.Milliseconds(), "config_version", w.d.Version(), "proof_age_ms", w.d.proof.AgeMs(now))
--- a/internal/edge/crash_rig_test.go
+++ b/internal/edge/crash_rig_test.go
@@ -222,7 +222,7 @@
 		waitFor(t, func() bool {
 			now := time.Now()
 			heard := len(e.gossip.Peers(now))
-			return e.Ready(now) && e.placement.Known() && (heard == len(nodes)-1 || len(nodes) > 12 && heard > 0)
+			return e.Ready(now) && e.placement.HasEngines() && (heard == len(nodes)-1 || len(nodes) > 12 && heard > 0)
 		}, "a node is not ready")
 	}
 }
--- a/internal/edge/duties.go
+++ b/internal/edge/duties.go
@@ -73,7 +73,7 @@
 		if p.Scaling == nil {
 			continue
 		}
-		halls := n.e.placement.Present(p.Name)
+		halls := n.e.placement.HallEngines(p.Name)
 		for hall := range p.Scaling.Prices {
 			if _, ok := halls[hall]; !ok {
 				halls[hall] = scaling.Seen{} // One without engines can get some.
@@ -85,7 +85,7 @@
 }
 
 // Work returns, by pool, the reading that this node gave to engines so far, in milliseconds of an engine.
-func (n dutyNode) Work() map[string]scaling.Demand { return n.e.placement.Work() }
+func (n dutyNode) Work() map[string]scaling.Demand { return n.e.placement.PrefillWork() }
 
 // sayHolder returns what is told of who holds the duties.
 func (e *Edge) sayHolder(now time.Time) gossip.Holder {
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -169,7 +169,7 @@
 	var err error
 	e.proof = freshness.New(proofLife(s))
 	e.limits = limit.New(e.log)
-	e.placement = placement.New(s.Hall, placement.WithLimits(e.limits), placement.WithUnheard(e.unheard), placement.WithSenders(s.Instance, e.senders), placement.WithRegions(s.HallRegions))
+	e.placement = placement.New(s.Hall, placement.WithLimits(e.limits), placement.WithUnseenNodes(e.unheard), placement.WithSenders(s.Instance, e.senders), placement.WithRegions(s.HallRegions))
 	e.quarantine = quarantine.New(e.triesHeld, e.log)
 	e.evacuations = evacuation.New(e.placement, e.log)
 	if e.gossip, err = gossip.New(self, e.log); err != nil {
--- a/internal/edge/evacuation_test.go
+++ b/internal/edge/evacuation_test.go
@@ -26,7 +26,7 @@
 		return ok
 	}
 	e.config.Change(now, []feed.Row{evacuationRow("h2", 20, false)})
-	if open() || !e.placement.Present("p")["h2"].Evacuated {
+	if open() || !e.placement.HallEngines("p")["h2"].Evacuated {
 		t.Error("an engine of a hall that is evacuated is chosen, or shown as one that serves")
 	}
 	if rows := e.evacuationRows(now.Add(time.Second)); len(rows) != 1 || rows[0].Name != "h2" || rows[0].AgeMs != 1000 {
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -45,7 +45,7 @@
 		telemetry.Observed{Name: "croftturn.edge.absences", Help: "times that this process was away, as by a suspended machine", Read: func() int64 { return e.absences.Load() }},
 		telemetry.Observed{Name: "croftturn.edge.requests_held", Help: "requests that get no engine, since engines ended under them", Read: func() int64 { return e.quarantine.Len() }},
 		telemetry.Observed{Name: "croftturn.edge.engines_limited", Help: "engines that have named a limit of requests", Read: func() int64 { return e.limits.Len() }},
-		telemetry.Observed{Name: "croftturn.edge.engines_resting", Help: "engines that asked this node for rest", Read: func() int64 { return int64(e.placement.Resting(clock.Now())) }},
+		telemetry.Observed{Name: "croftturn.edge.engines_resting", Help: "engines that asked this node for rest", Read: func() int64 { return int64(e.placement.BackingOff(clock.Now())) }},
 		telemetry.Observed{Name: "croftturn.edge.tables_given", Help: "tables given to peers", Read: func() int64 { return e.follower.Pulls().Given }},
 		telemetry.Observed{Name: "croftturn.edge.tables_taken", Help: "tables taken from peers", Read: func() int64 { return e.follower.Pulls().Taken }},
 		telemetry.Observed{Name: "croftturn.edge.tables_failed", Help: "tables asked of peers in vain", Read: func() int64 { return e.follower.Pulls().Failed }},
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -67,7 +67,7 @@
 // Heard takes what a peer said. Its proof is as old as it said at a moment after
 // it had received this node's message, which is on this node's clock.
 func (e *Edge) Heard(now time.Time, p gossip.Self, s gossip.Said, received time.Time) {
-	e.placement.Peer(now, p.Name, s.Versions[platform.TableEngines], s.Loads, s.Uses)
+	e.placement.UpdatePeer(now, p.Name, s.Versions[platform.TableEngines], s.Loads, s.Uses)
 	e.dispatcher.HeardPlaces(now, p.Name, s.Places)
 	e.quarantine.Hear(now, s.Crashing)
 	e.limits.Hear(now, s.Limits)
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -73,7 +73,7 @@
 	a := &node{changed: make(chan struct{}, 1)}
 	b := &node{changed: make(chan struct{}, 1), say: gossip.Said{
 		Ready: true, ConfigVersion: 3, ProofAgeMs: 12, LostAgeMs: -1, Versions: map[string]int64{"t": 9},
-		Loads: map[string]placement.Load{"e": {Unread: 1, InFlight: 2, Streams: 3}}, Uses: []placement.Use{{Engine: "e", Part: 5}},
+		Loads: map[string]placement.Load{"e": {PrefillTokens: 1, InFlight: 2, Streams: 3}}, Uses: []placement.Use{{Engine: "e", Part: 5}},
 	}}
 	begin := time.Now()
 	addressA, addressB := freeAddress(t), freeAddress(t)
--- a/internal/gossip/hubs_test.go
+++ b/internal/gossip/hubs_test.go
@@ -190,7 +190,7 @@
 			node.say.Rate = 60
 			node.say.Loads = map[string]placement.Load{}
 			for i := range 25 {
-				node.say.Loads[fmt.Sprintf("i-%010d", i)] = placement.Load{Unread: 4000, InFlight: 2}
+				node.say.Loads[fmt.Sprintf("i-%010d", i)] = placement.Load{PrefillTokens: 4000, InFlight: 2}
 			}
 		}
 	}
--- a/internal/placement/cache_test.go
+++ b/internal/placement/cache_test.go
@@ -10,7 +10,7 @@
 
 // reportPart tells a placement that a peer gave a session's part to an engine.
 func reportPart(p *placement.Placement, now time.Time, engine string, session int) {
-	p.Peer(now, "peer", 0, nil, []placement.Use{{Engine: engine, Part: placement.NewPart(fmt.Sprint("session", session), 0).ID}, {Engine: engine, Part: placement.NewPart("root", 0).ID}})
+	p.UpdatePeer(now, "peer", 0, nil, []placement.Use{{Engine: engine, Part: placement.NewPart(fmt.Sprint("session", session), 0).ID}, {Engine: engine, Part: placement.NewPart("root", 0).ID}})
 }
 
 // TestThousandsOfSessionsAreRemembered holds that a node knows for each of 6,000 sessions,
@@ -25,7 +25,7 @@
 	}
 	lost := 0
 	for i := range sessions {
-		if c := choose(t, p, now, long(i)); c.Unread != 9000-6200 {
+		if c := choose(t, p, now, long(i)); c.PrefillTokens != 9000-6200 {
 			lost++
 		}
 	}
@@ -47,7 +47,7 @@
 	if got := p.Parts(); got > placement.MaxParts {
 		t.Errorf("%d parts are remembered, want %d at most", got, placement.MaxParts)
 	}
-	if c := choose(t, p, now, long(sessions-1)); c.Unread != 9000-6200 {
+	if c := choose(t, p, now, long(sessions-1)); c.PrefillTokens != 9000-6200 {
 		t.Error("the newest session is forgotten")
 	}
 }
@@ -63,7 +63,7 @@
 		for i := range sessions {
 			r := long(i)
 			c := choose(t, p, now, r)
-			if c.Unread == r.Prompt.Tokens {
+			if c.PrefillTokens == r.Prompt.Tokens {
 				anew[engines]++
 			}
 			call := p.Start(now, c, r)
--- a/internal/placement/call.go
+++ b/internal/placement/call.go
@@ -10,14 +10,14 @@
 	// answered with a failure of its own.
 	Failed
 
-	// Turned says that the engine turned the request away without running it.
-	Turned
+	// Rejected says that the engine turned the request away without running it.
+	Rejected
 
-	// Asked says that the engine turned the request away and asked for rest, which is no failure.
-	Asked
+	// Throttled says that the engine turned the request away and asked for rest, which is no failure.
+	Throttled
 
-	// Left says that the request ended for a reason that is not the engine's.
-	Left
+	// Aborted says that the request ended for a reason that is not the engine's.
+	Aborted
 )
 
 type (
@@ -55,8 +55,8 @@
 		e = newEngine(c.Engine)
 	}
 	call := &Call{
-		p: p, engine: e, load: Load{Unread: c.Unread, InFlight: 1}, start: now, wait: time.Duration(c.Wait * float64(time.Millisecond)),
-		queuedTokens: c.Ahead, prefillRate: c.Read, stream: r.MaxGap > 0, lastSign: now,
+		p: p, engine: e, load: Load{PrefillTokens: c.PrefillTokens, InFlight: 1}, start: now, wait: time.Duration(c.Wait * float64(time.Millisecond)),
+		queuedTokens: c.QueuedTokens, prefillRate: c.PrefillRate, stream: r.MaxGap > 0, lastSign: now,
 	}
 	if e.calls == nil {
 		e.calls = map[*Call]bool{}
@@ -64,11 +64,11 @@
 	e.calls[call] = true
 	p.noteTrial(now, call)
 	p.noteCold(now, p.poolState(r.Pool), e)
-	if c.Unread > 0 {
-		p.addWork(r, float64(c.Unread)/c.Read)
-		p.poolState(r.Pool).notePrefill(c.Unread, c.Tight)
+	if c.PrefillTokens > 0 {
+		p.addWork(r, float64(c.PrefillTokens)/c.PrefillRate)
+		p.poolState(r.Pool).notePrefill(c.PrefillTokens, c.GapSensitive)
 	}
-	if c.Tight {
+	if c.GapSensitive {
 		call.load.Streams = 1
 		p.poolState(r.Pool).noteStreamGap(r.MaxGap)
 	}
@@ -91,16 +91,16 @@
 	if !c.began {
 		c.began, c.lastSign = true, now
 		c.p.endBackoff(c)
-		c.engine.own.Unread -= c.load.Unread
+		c.engine.own.PrefillTokens -= c.load.PrefillTokens
 		c.engine.pace.note(now, now.Sub(c.start), c.wait)
-		if own := float64(c.load.Unread); own >= minSampleTokens && own >= minSampleShare*float64(c.queuedTokens) {
+		if own := float64(c.load.PrefillTokens); own >= minSampleTokens && own >= minSampleShare*float64(c.queuedTokens) {
 			c.engine.prefill.note(now, float64(c.queuedTokens), now.Sub(c.start)-prefillOverhead, c.prefillRate)
 		}
 	}
 }
 
-// Heard records that bytes came from the engine.
-func (c *Call) Heard(now time.Time) {
+// Received records that bytes came from the engine.
+func (c *Call) Received(now time.Time) {
 	c.p.mu.Lock()
 	defer c.p.mu.Unlock()
 	c.engine.lastData = now
@@ -110,8 +110,8 @@
 	c.lastData, c.lastSign = now, now
 }
 
-// Quiet returns for how long nothing has come from the engine for this request.
-func (c *Call) Quiet(now time.Time) time.Duration {
+// Idle returns for how long nothing has come from the engine for this request.
+func (c *Call) Idle(now time.Time) time.Duration {
 	c.p.mu.Lock()
 	defer c.p.mu.Unlock()
 	return now.Sub(c.lastSign)
@@ -158,14 +158,14 @@
 	c.p.endBackoff(c)
 	delete(c.engine.calls, c)
 	if !c.began {
-		c.engine.own.Unread -= c.load.Unread
+		c.engine.own.PrefillTokens -= c.load.PrefillTokens
 	}
 	c.engine.own.InFlight--
 	c.engine.own.Streams -= c.load.Streams
 	switch o {
 	case Answered:
 		c.engine.failures.note(now, false)
-	case Failed, Turned:
+	case Failed, Rejected:
 		c.engine.failures.note(now, true) // An engine that turns requests away is avoided for a while, too.
 	}
 }
@@ -192,11 +192,11 @@
 	return out
 }
 
-// Peer records what a peer told: its work at each engine, in place of what it
+// UpdatePeer records what a peer told: its work at each engine, in place of what it
 // told before, and the parts it gave to engines since. known is the newest version of the
 // engines' entries that it had then: what it told of an engine that has started again later
 // is of the former incarnation.
-func (p *Placement) Peer(now time.Time, peer string, known int64, loads map[string]Load, uses []Use) {
+func (p *Placement) UpdatePeer(now time.Time, peer string, known int64, loads map[string]Load, uses []Use) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, id := range p.peerEngines[peer] {
@@ -206,14 +206,14 @@
 	}
 	told := p.peerEngines[peer][:0]
 	for id, l := range loads {
-		if e := p.engines[id]; e != nil && known >= e.Since {
+		if e := p.engines[id]; e != nil && known >= e.SinceVersion {
 			e.setPeer(now, peer, l)
 			told = append(told, id)
 		}
 	}
 	p.peerEngines[peer] = told
 	for _, u := range uses {
-		if e := p.engines[u.Engine]; e != nil && known >= e.Since {
+		if e := p.engines[u.Engine]; e != nil && known >= e.SinceVersion {
 			p.cache.recordUse(now, u.Engine, u.Part)
 		}
 	}
--- a/internal/placement/choose_test.go
+++ b/internal/placement/choose_test.go
@@ -20,9 +20,9 @@
 			for peer := range 8 {
 				loads := map[string]placement.Load{}
 				for i := range engines {
-					loads[fmt.Sprint("e", i)] = placement.Load{Unread: 900, InFlight: 2, Streams: 1}
+					loads[fmt.Sprint("e", i)] = placement.Load{PrefillTokens: 900, InFlight: 2, Streams: 1}
 				}
-				p.Peer(start, fmt.Sprint("peer", peer), 0, loads, nil)
+				p.UpdatePeer(start, fmt.Sprint("peer", peer), 0, loads, nil)
 			}
 			now := start
 			for i := 0; b.Loop(); i++ {
@@ -45,9 +45,9 @@
 		if step%5 == 0 {
 			loads := map[string]placement.Load{}
 			for range 40 {
-				loads[fmt.Sprint("e", rng.IntN(engines))] = placement.Load{Unread: rng.IntN(20000), InFlight: 1 + rng.IntN(40), Streams: rng.IntN(20)}
+				loads[fmt.Sprint("e", rng.IntN(engines))] = placement.Load{PrefillTokens: rng.IntN(20000), InFlight: 1 + rng.IntN(40), Streams: rng.IntN(20)}
 			}
-			p.Peer(now, fmt.Sprint("peer", rng.IntN(6)), 0, loads, nil)
+			p.UpdatePeer(now, fmt.Sprint("peer", rng.IntN(6)), 0, loads, nil)
 		}
 		r := long(rng.IntN(30))
 		if step%3 == 0 {
--- a/internal/placement/engine.go
+++ b/internal/placement/engine.go
@@ -36,25 +36,25 @@
 type (
 	// Engine is an engine or backend server as service discovery shows it.
 	Engine struct {
-		ID       string
-		Pool     string
-		Address  string
-		Hall     string
-		Slots    int
-		Draining bool  // Draining engines get no new requests.
-		Spot     bool  // Spot engines may be taken away by the platform.
-		Born     int64 // Born tells one incarnation of the engine from the next; it is the start by the engine's own clock; 0 where it does not say.
-		Since    int64 // Since is the version of the entry by which this incarnation was known first.
+		ID           string
+		Pool         string
+		Address      string
+		Hall         string
+		Slots        int
+		Draining     bool  // Draining engines get no new requests.
+		Spot         bool  // Spot engines may be taken away by the platform.
+		Incarnation  int64 // Born tells one incarnation of the engine from the next; it is the start by the engine's own clock; 0 where it does not say.
+		SinceVersion int64 // Since is the version of the entry by which this incarnation was known first.
 
 		ColdUntil time.Time // ColdUntil is until when the engine is cold; zero if it is not.
 	}
 
 	// Load is the work at an engine, of one node or of all.
 	Load struct {
-		_        struct{} `cbor:",toarray"`
-		Unread   int      // Unread is how many prompt tokens are still to be read.
-		InFlight int      // InFlight is how many requests are sent and not yet ended.
-		Streams  int      // Streams is how many of these are streams that long prompts would make late.
+		_             struct{} `cbor:",toarray"`
+		PrefillTokens int      // Unread is how many prompt tokens are still to be read.
+		InFlight      int      // InFlight is how many requests are sent and not yet ended.
+		Streams       int      // Streams is how many of these are streams that long prompts would make late.
 	}
 
 	// engine is an engine with what this node learned of it.
@@ -109,7 +109,7 @@
 
 // add adds another load.
 func (l Load) add(o Load) Load {
-	return Load{Unread: l.Unread + o.Unread, InFlight: l.InFlight + o.InFlight, Streams: l.Streams + o.Streams}
+	return Load{PrefillTokens: l.PrefillTokens + o.PrefillTokens, InFlight: l.InFlight + o.InFlight, Streams: l.Streams + o.Streams}
 }
 
 // newEngine returns an engine of which nothing is known yet.
--- a/internal/placement/held_test.go
+++ b/internal/placement/held_test.go
@@ -8,9 +8,9 @@
 	"github.com/croftturn/croftturn/internal/placement"
 )
 
-// TestEnginesThatAreHeldBackAddNoPlaces holds that engines that have named a limit or asked for rest don't count among what a
+// TestThrottledEnginesAddNoCapacity holds that engines that have named a limit or asked for rest don't count among what a
 // pool can take: neither as engines that read, nor by their places.
-func TestEnginesThatAreHeldBackAddNoPlaces(t *testing.T) {
+func TestThrottledEnginesAddNoCapacity(t *testing.T) {
 	const engines, slots = 6, 10
 	for _, test := range []struct {
 		name                 string
@@ -35,14 +35,14 @@
 			case i < test.limited:
 				o[id] = now.Add(time.Minute)
 			case i < test.limited+test.resting:
-				p.Rest(now, id, time.Minute)
+				p.BackOff(now, id, time.Minute)
 			default:
 				loads[id] = placement.Load{InFlight: test.busy}
 			}
 		}
-		p.Peer(now, "peer", 0, loads, nil)
+		p.UpdatePeer(now, "peer", 0, loads, nil)
 		c, ok := p.Choose(now, placement.Request{Pool: "p"})
-		if !ok || c.Engines != engines || c.Free != test.free || c.Scarce != test.scarce || c.Last != test.lastOfPlaces {
+		if !ok || c.Engines != engines || c.Usable != test.free || c.SlotsScarce != test.scarce || c.SlotsReserved != test.lastOfPlaces {
 			t.Errorf("%s: %+v", test.name, c)
 		}
 	}
--- a/internal/placement/late_test.go
+++ b/internal/placement/late_test.go
@@ -7,20 +7,20 @@
 	"github.com/croftturn/croftturn/internal/placement"
 )
 
-// pauseAt plays streams at an engine, one pause in so many of them a long one, 0 for none.
-func pauseAt(p *placement.Placement, e placement.Engine, pauses, every int, long time.Duration) {
+// runStream plays streams at an engine, one pause in so many of them a long one, 0 for none.
+func runStream(p *placement.Placement, e placement.Engine, pauses, every int, long time.Duration) {
 	r := stream(1)
 	call := p.Start(start, placement.Choice{Engine: e}, r)
 	call.Began(start)
 	now := start
-	call.Heard(now)
+	call.Received(now)
 	for n := range pauses {
 		pause := 60 * time.Millisecond
 		if every > 0 && n%every == 0 {
 			pause = long
 		}
 		now = now.Add(pause)
-		call.Heard(now)
+		call.Received(now)
 	}
 	call.End(now, placement.Answered)
 }
@@ -51,12 +51,12 @@
 			apart := choose(t, p, start, r).Engine.ID
 			for _, e := range p.Engines() {
 				if e.ID != apart {
-					pauseAt(p, e, 1500, test.every, test.long)
+					runStream(p, e, 1500, test.every, test.long)
 				}
 			}
 			r.Events = test.events
-			if c := choose(t, p, start, r); c.Tight != test.tight {
-				t.Errorf("kept apart: %v, want %v", c.Tight, test.tight)
+			if c := choose(t, p, start, r); c.GapSensitive != test.tight {
+				t.Errorf("kept apart: %v, want %v", c.GapSensitive, test.tight)
 			}
 		})
 	}
@@ -67,11 +67,11 @@
 func TestPausesOfStreamsThatAreKeptApartDoNotCount(t *testing.T) {
 	p := newPlacement(3)
 	apart := choose(t, p, start, stream(1))
-	if !apart.Tight {
+	if !apart.GapSensitive {
 		t.Fatal("before any pause was seen a stream of short pauses is not kept apart")
 	}
-	pauseAt(p, apart.Engine, 5000, 0, 0)
-	if c := choose(t, p, start, stream(1)); !c.Tight {
+	runStream(p, apart.Engine, 5000, 0, 0)
+	if c := choose(t, p, start, stream(1)); !c.GapSensitive {
 		t.Error("after short pauses on the engine where streams are apart they no longer are")
 	}
 }
--- a/internal/placement/many_test.go
+++ b/internal/placement/many_test.go
@@ -33,7 +33,7 @@
 			p.Set(placement.Engine{ID: id(i), Pool: "p", Hall: "h", Slots: 64, ColdUntil: start.Add(time.Hour)})
 		},
 		"limited": func(_ *placement.Placement, o permitTimes, i int) { o[id(i)] = start.Add(time.Hour) },
-		"resting": func(p *placement.Placement, _ permitTimes, i int) { p.Rest(start, id(i), time.Hour) },
+		"resting": func(p *placement.Placement, _ permitTimes, i int) { p.BackOff(start, id(i), time.Hour) },
 	} {
 		b.Run(name, func(b *testing.B) {
 			o := permitTimes{}
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -28,33 +28,33 @@
 		TokensPerEvent int           // TokensPerEvent is how many tokens an event of a stream of the pool holds.
 		Events         int           // Events is how many events the answer is expected to have; 0 if unknown.
 		Avoid          map[string]bool
-		Bound          bool     // Bound says that it may be served in Regions alone.
+		RegionBound    bool     // Bound says that it may be served in Regions alone.
 		Regions        []string // Regions is described at Bound.
-		Lowest         bool     // Lowest says that its pool serves no lower tier.
-		NeedRoom       bool     // NeedRoom says that an engine with a place free goes before all others.
-		Unlimited      bool     // Unlimited says that engines which have named a limit don't count.
+		LowestTier     bool     // Lowest says that its pool serves no lower tier.
+		NeedSlot       bool     // NeedRoom says that an engine with a place free goes before all others.
+		ExcludeLimited bool     // Unlimited says that engines which have named a limit don't count.
 
 		gapSensitive bool // tight says that it is a stream which is kept from long prompts.
 	}
 
 	// Choice is the engine that was chosen, and why.
 	Choice struct {
-		Engine Engine
-		Cost   float64 // Cost is the expected time to the first token and what is weighed with it, in milliseconds.
-		Wait   float64 // Wait is the expected time until the prompt is read, in milliseconds.
-		Unread int     // Unread is how many tokens of the prompt the engine still has to read.
-		Ahead  int     // Ahead is how many tokens the engine reads until then, Unread among them.
-		Read   float64 // Read is the rate at which the engine is expected to read, in tokens a millisecond.
-		Tight  bool    // Tight says that the request is a stream which long prompts would make late too often.
-		Room   bool    // Room says that the request need not wait: the engine has a place free, or others of the pool have many.
-		Scarce bool    // Scarce says that the pool, or the engine, has few places free.
-		Last   bool    // Last says that the places that are free are the pool's last ones.
+		Engine        Engine
+		Cost          float64 // Cost is the expected time to the first token and what is weighed with it, in milliseconds.
+		Wait          float64 // Wait is the expected time until the prompt is read, in milliseconds.
+		PrefillTokens int     // Unread is how many tokens of the prompt the engine still has to read.
+		QueuedTokens  int     // Ahead is how many tokens the engine reads until then, Unread among them.
+		PrefillRate   float64 // Read is the rate at which the engine is expected to read, in tokens a millisecond.
+		GapSensitive  bool    // Tight says that the request is a stream which long prompts would make late too often.
+		SlotAvailable bool    // Room says that the request need not wait: the engine has a place free, or others of the pool have many.
+		SlotsScarce   bool    // Scarce says that the pool, or the engine, has few places free.
+		SlotsReserved bool    // Last says that the places that are free are the pool's last ones.
 
-		Limited bool      // Limited says that the engine has named a limit, so that the request needs a permit.
-		Opens   time.Time // Opens is when a permit for it is expected to be free; zero or past if there is one. Where no engine was chosen, it is when one may be.
+		Limited     bool      // Limited says that the engine has named a limit, so that the request needs a permit.
+		AvailableAt time.Time // Opens is when a permit for it is expected to be free; zero or past if there is one. Where no engine was chosen, it is when one may be.
 
 		Engines int // Engines is how many engines of the pool take new work.
-		Free    int // Free is how many of these are not held back by a limit or by rest.
+		Usable  int // Free is how many of these are not held back by a limit or by rest.
 	}
 
 	// Use tells that an engine has read parts of a prompt.
@@ -90,9 +90,9 @@
 // Option changes a placement.
 type Option func(*Placement)
 
-// WithUnheard tells a placement of how many nodes that have begun work it has not heard yet: those that
+// WithUnseenNodes tells a placement of how many nodes that have begun work it has not heard yet: those that
 // started when this one did.
-func WithUnheard(nodes func(now time.Time) int) Option {
+func WithUnseenNodes(nodes func(now time.Time) int) Option {
 	return func(p *Placement) { p.unseenNodes = nodes }
 }
 
@@ -129,7 +129,7 @@
 	case known == nil:
 		p.engines[e.ID] = newEngine(e)
 		return nil, false
-	case known.Born == e.Born:
+	case known.Incarnation == e.Incarnation:
 		known.Engine = e
 		return nil, false
 	}
@@ -170,8 +170,8 @@
 	return e == nil || e.Draining
 }
 
-// Known reports whether any engine is known.
-func (p *Placement) Known() bool {
+// HasEngines reports whether any engine is known.
+func (p *Placement) HasEngines() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.engines) > 0
@@ -240,7 +240,7 @@
 		if rested := p.backoffUntil(now, e.ID); rested.After(at) {
 			at = rested
 		}
-		if now.Before(at) || limited && r.Unlimited {
+		if now.Before(at) || limited && r.ExcludeLimited {
 			if first.IsZero() || at.Before(first) {
 				first = at
 			}
@@ -252,9 +252,9 @@
 			best, choice, ok = c.Cost, c, true
 		}
 	}
-	choice.Engines, choice.Free = len(known.engines), known.usable
+	choice.Engines, choice.Usable = len(known.engines), known.usable
 	if !ok {
-		choice.Opens = first
+		choice.AvailableAt = first
 	}
 	return choice, ok
 }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -53,8 +53,8 @@
 	call.End(start.Add(time.Second), placement.Answered)
 	now := start.Add(2 * time.Second)
 	again := choose(t, p, now, long(1))
-	if again.Engine.ID != first.Engine.ID || again.Unread != 9000-6200 {
-		t.Errorf("then %s with %d to read, first %s", again.Engine.ID, again.Unread, first.Engine.ID)
+	if again.Engine.ID != first.Engine.ID || again.PrefillTokens != 9000-6200 {
+		t.Errorf("then %s with %d to read, first %s", again.Engine.ID, again.PrefillTokens, first.Engine.ID)
 	}
 	for range 20 {
 		p.Start(now, again, placement.Request{Pool: "p", Prompt: placement.Prompt{Tokens: 9000}})
@@ -85,15 +85,15 @@
 // cached and as work there, and that its work no longer counts once it is silent.
 func TestPeersTellWhatTheyGave(t *testing.T) {
 	p := newPlacement(2)
-	p.Peer(start, "peer", 0, map[string]placement.Load{"e0": {Unread: 20000, InFlight: 4}}, []placement.Use{
+	p.UpdatePeer(start, "peer", 0, map[string]placement.Load{"e0": {PrefillTokens: 20000, InFlight: 4}}, []placement.Use{
 		{Engine: "e0", Part: placement.NewPart("root", 0).ID}, {Engine: "e0", Part: placement.NewPart("session1", 0).ID},
 	})
 	if c := choose(t, p, start, placement.Request{Pool: "p", Prompt: placement.Prompt{Tokens: 500}}); c.Engine.ID != "e1" {
 		t.Errorf("chose %s, where the peer's requests wait", c.Engine.ID)
 	}
 	later := start.Add(5 * time.Second)
-	if c := choose(t, p, later, long(1)); c.Engine.ID != "e0" || c.Unread != 2800 {
-		t.Errorf("chose %s with %d to read, want e0, which has the session", c.Engine.ID, c.Unread)
+	if c := choose(t, p, later, long(1)); c.Engine.ID != "e0" || c.PrefillTokens != 2800 {
+		t.Errorf("chose %s with %d to read, want e0, which has the session", c.Engine.ID, c.PrefillTokens)
 	}
 }
 
@@ -158,7 +158,7 @@
 	if got := choose(t, p, now, r); got.Engine.ID == c.Engine.ID {
 		t.Error("a silent engine gets more")
 	}
-	call.Heard(now)
+	call.Received(now)
 	call.End(now, placement.Answered)
 	if got := choose(t, p, now, r); got.Engine.ID != c.Engine.ID {
 		t.Error("an engine that was heard is still avoided")
@@ -222,7 +222,7 @@
 	r := placement.Request{Pool: "p"}
 	c := choose(t, p, start, r)
 	for range 3 {
-		p.Start(start, c, r).End(start, placement.Turned)
+		p.Start(start, c, r).End(start, placement.Rejected)
 	}
 	if got := choose(t, p, start, r).Engine.ID; got == c.Engine.ID {
 		t.Errorf("still %s", got)
@@ -237,16 +237,16 @@
 		p.Set(placement.Engine{ID: id, Pool: "p", Hall: "hall"})
 	}
 	one := placement.Load{InFlight: 1}
-	p.Peer(start, "a", 0, map[string]placement.Load{"e0": one, "e1": one, "unknown": one}, nil)
-	p.Peer(start, "b", 0, map[string]placement.Load{"e0": one}, nil)
-	p.Peer(start, "a", 0, map[string]placement.Load{"e1": one, "e2": one}, nil)
+	p.UpdatePeer(start, "a", 0, map[string]placement.Load{"e0": one, "e1": one, "unknown": one}, nil)
+	p.UpdatePeer(start, "b", 0, map[string]placement.Load{"e0": one}, nil)
+	p.UpdatePeer(start, "a", 0, map[string]placement.Load{"e1": one, "e2": one}, nil)
 	for id, want := range map[string]int{"e0": 1, "e1": 1, "e2": 1} {
 		if got := p.PeersAt(id); got != want {
 			t.Errorf("%d peers have work at %s, want %d", got, id, want)
 		}
 	}
-	p.Peer(start, "a", 0, nil, nil)
-	p.Peer(start, "b", 0, nil, nil)
+	p.UpdatePeer(start, "a", 0, nil, nil)
+	p.UpdatePeer(start, "b", 0, nil, nil)
 	for _, id := range []string{"e0", "e1", "e2"} {
 		if got := p.PeersAt(id); got != 0 {
 			t.Errorf("%d peers have work at %s after they told of none", got, id)
@@ -262,7 +262,7 @@
 	}
 	loads := map[string]placement.Load{"e1": {InFlight: 1}, "e2": {InFlight: 2}}
 	for b.Loop() {
-		p.Peer(start, "peer", 0, loads, nil)
+		p.UpdatePeer(start, "peer", 0, loads, nil)
 	}
 }
 
@@ -279,14 +279,14 @@
 	first := p.Start(start, choose(t, p, start, long(1)), long(1))
 	first.Began(start)
 	full := map[string]placement.Load{cached: {InFlight: 3}}
-	p.Peer(start, "peer", 0, full, nil)
-	if c := choose(t, p, start, long(1)); c.Engine.ID != cached || !c.Room || !c.Scarce {
-		t.Errorf("with one engine full: %s, room %v, scarce %v", c.Engine.ID, c.Room, c.Scarce)
+	p.UpdatePeer(start, "peer", 0, full, nil)
+	if c := choose(t, p, start, long(1)); c.Engine.ID != cached || !c.SlotAvailable || !c.SlotsScarce {
+		t.Errorf("with one engine full: %s, room %v, scarce %v", c.Engine.ID, c.SlotAvailable, c.SlotsScarce)
 	}
 	elsewhere := long(1)
 	elsewhere.Avoid = map[string]bool{cached: true}
-	if c := choose(t, p, start, elsewhere); c.Engine.ID == cached || !c.Room || c.Scarce {
-		t.Errorf("at another engine while one is full: %s, room %v, scarce %v", c.Engine.ID, c.Room, c.Scarce)
+	if c := choose(t, p, start, elsewhere); c.Engine.ID == cached || !c.SlotAvailable || c.SlotsScarce {
+		t.Errorf("at another engine while one is full: %s, room %v, scarce %v", c.Engine.ID, c.SlotAvailable, c.SlotsScarce)
 	}
 	for i := range 5 {
 		if id := fmt.Sprint("e", i); id != cached {
@@ -298,13 +298,13 @@
 		free = "e1"
 	}
 	full[free] = placement.Load{InFlight: 3}
-	p.Peer(start, "peer", 0, full, nil)
-	if c := choose(t, p, start, long(1)); c.Engine.ID != cached || c.Room || !c.Scarce {
-		t.Errorf("with one place left: %s, room %v, scarce %v", c.Engine.ID, c.Room, c.Scarce)
+	p.UpdatePeer(start, "peer", 0, full, nil)
+	if c := choose(t, p, start, long(1)); c.Engine.ID != cached || c.SlotAvailable || !c.SlotsScarce {
+		t.Errorf("with one place left: %s, room %v, scarce %v", c.Engine.ID, c.SlotAvailable, c.SlotsScarce)
 	}
 	r := long(1)
-	r.NeedRoom = true
-	if c := choose(t, p, start, r); c.Engine.ID != free || !c.Room {
-		t.Errorf("where a place is needed: %s, room %v, want %s", c.Engine.ID, c.Room, free)
+	r.NeedSlot = true
+	if c := choose(t, p, start, r); c.Engine.ID != free || !c.SlotAvailable {
+		t.Errorf("where a place is needed: %s, room %v, want %s", c.Engine.ID, c.SlotAvailable, free)
 	}
 }
--- a/internal/placement/present.go
+++ b/internal/placement/present.go
@@ -6,8 +6,8 @@
 	"github.com/croftturn/croftturn/internal/scaling"
 )
 
-// Present returns what each hall has of a pool.
-func (p *Placement) Present(pool string) map[string]scaling.Seen {
+// HallEngines returns what each hall has of a pool.
+func (p *Placement) HallEngines(pool string) map[string]scaling.Seen {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := map[string]scaling.Seen{}
@@ -39,14 +39,14 @@
 func (p *Placement) addWork(r Request, ms float64) {
 	w := p.work[r.Pool]
 	w.All += ms
-	if !r.Lowest {
+	if !r.LowestTier {
 		w.Upper += ms
 	}
 	p.work[r.Pool] = w
 }
 
-// Work returns, by pool, how many milliseconds of an engine the prompts take that this node has sent since its start.
-func (p *Placement) Work() map[string]scaling.Demand {
+// PrefillWork returns, by pool, how many milliseconds of an engine the prompts take that this node has sent since its start.
+func (p *Placement) PrefillWork() map[string]scaling.Demand {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return maps.Clone(p.work)
--- a/internal/placement/present_test.go
+++ b/internal/placement/present_test.go
@@ -17,7 +17,7 @@
 		e.ID, e.Pool, e.Slots = id, "p", 8
 		p.Set(e)
 	}
-	got := p.Present("p")
+	got := p.HallEngines("p")
 	if want := (scaling.Seen{Staying: 1, Spot: 1}); got["a"] != want {
 		t.Errorf("hall a: %+v, want %+v", got["a"], want)
 	}
@@ -30,9 +30,9 @@
 		t.Fatal("no engine")
 	}
 	p.Start(now, choice, r)
-	once := p.Work()["p"].All
+	once := p.PrefillWork()["p"].All
 	p.Start(now, choice, r)
-	if twice := p.Work()["p"].All; once != 5000/choice.Read || twice != 2*once {
-		t.Errorf("5,000 tokens at %v a millisecond are %v ms, twice as many %v", choice.Read, once, twice)
+	if twice := p.PrefillWork()["p"].All; once != 5000/choice.PrefillRate || twice != 2*once {
+		t.Errorf("5,000 tokens at %v a millisecond are %v ms, twice as many %v", choice.PrefillRate, once, twice)
 	}
 }
--- a/internal/placement/regions.go
+++ b/internal/placement/regions.go
@@ -10,7 +10,7 @@
 
 // regionAllowed reports whether a request may be served where an engine stands.
 func (p *Placement) regionAllowed(r Request, e *engine) bool {
-	if !r.Bound {
+	if !r.RegionBound {
 		return true
 	}
 	region, known := p.regions[e.Hall]
--- a/internal/placement/regions_test.go
+++ b/internal/placement/regions_test.go
@@ -18,13 +18,13 @@
 		regions []string
 		want    string
 	}{{"own", []string{"a"}, "near"}, {"other", []string{"b"}, "far"}, {"unknown", []string{"c"}, ""}, {"none", nil, ""}} {
-		c, _ := p.Choose(start, placement.Request{Pool: "p", Bound: true, Regions: test.regions})
+		c, _ := p.Choose(start, placement.Request{Pool: "p", RegionBound: true, Regions: test.regions})
 		if c.Engine.ID != test.want {
 			t.Errorf("%s: sent to %q, want %q", test.name, c.Engine.ID, test.want)
 		}
 	}
 	p.SetEvacuated("b1", true)
-	if c, ok := p.Choose(start, placement.Request{Pool: "p", Bound: true, Regions: []string{"b"}}); ok {
+	if c, ok := p.Choose(start, placement.Request{Pool: "p", RegionBound: true, Regions: []string{"b"}}); ok {
 		t.Errorf("with its only hall evacuated it is sent to %q", c.Engine.ID)
 	}
 }
--- a/internal/placement/replay_test.go
+++ b/internal/placement/replay_test.go
@@ -254,7 +254,7 @@
 	}
 	x.late = x.late || x.kind.maxGap > 0 && x.heldTicks > int(x.kind.maxGap/replayTick)
 	if event && now.Before(x.ends) {
-		x.call.Heard(now)
+		x.call.Received(now)
 	}
 	if event && x.kind.eventSteps > 0 {
 		x.step, x.heldTicks = 0, 0
@@ -267,7 +267,7 @@
 		loads, uses := from.Loads(), from.TakeUses()
 		for j, to := range nodes {
 			if i != j {
-				to.Peer(now, fmt.Sprint(i), 0, loads, uses)
+				to.UpdatePeer(now, fmt.Sprint(i), 0, loads, uses)
 			}
 		}
 	}
--- a/internal/placement/rest.go
+++ b/internal/placement/rest.go
@@ -26,8 +26,8 @@
 	trial *Call // trial is the request that was sent after the end; nil for none.
 }
 
-// Rest takes that an engine asked this node to send nothing for a time. Of several rests the one that ends last counts.
-func (p *Placement) Rest(now time.Time, id string, lasts time.Duration) {
+// BackOff takes that an engine asked this node to send nothing for a time. Of several rests the one that ends last counts.
+func (p *Placement) BackOff(now time.Time, id string, lasts time.Duration) {
 	if lasts <= 0 {
 		return
 	}
@@ -47,8 +47,8 @@
 	known.trial = nil
 }
 
-// Resting returns how many engines rest.
-func (p *Placement) Resting(now time.Time) int {
+// BackingOff returns how many engines rest.
+func (p *Placement) BackingOff(now time.Time) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
--- a/internal/placement/rest_test.go
+++ b/internal/placement/rest_test.go
@@ -7,11 +7,11 @@
 	"github.com/croftturn/croftturn/internal/placement"
 )
 
-// TestRests holds how long an engine that asked for rest gets nothing, what keeps and what ends that, and that after it one
+// TestEngineBackoff holds how long an engine that asked for rest gets nothing, what keeps and what ends that, and that after it one
 // request is tried before more are sent.
-func TestRests(t *testing.T) {
+func TestEngineBackoff(t *testing.T) {
 	const lasts = time.Second
-	engine := placement.Engine{ID: "e", Pool: "p", Hall: "h", Slots: 8, Born: 1}
+	engine := placement.Engine{ID: "e", Pool: "p", Hall: "h", Slots: 8, Incarnation: 1}
 	r := placement.Request{Pool: "p"}
 	after := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	send := func(p *placement.Placement, at time.Time) *placement.Call {
@@ -26,13 +26,13 @@
 	}{
 		{"before it ends", func(*placement.Placement) {}, 990, false},
 		{"after it", func(*placement.Placement) {}, 1210, true},
-		{"a shorter one after it", func(p *placement.Placement) { p.Rest(after(100), "e", 100*time.Millisecond) }, 990, false},
-		{"a longer one", func(p *placement.Placement) { p.Rest(after(100), "e", 2*lasts) }, 2090, false},
-		{"none", func(p *placement.Placement) { p.Rest(after(100), "e", 0) }, 1210, true},
+		{"a shorter one after it", func(p *placement.Placement) { p.BackOff(after(100), "e", 100*time.Millisecond) }, 990, false},
+		{"a longer one", func(p *placement.Placement) { p.BackOff(after(100), "e", 2*lasts) }, 2090, false},
+		{"none", func(p *placement.Placement) { p.BackOff(after(100), "e", 0) }, 1210, true},
 		{"its entry goes and comes", func(p *placement.Placement) { p.Remove("e"); p.Set(engine) }, 990, false},
 		{"it starts again", func(p *placement.Placement) {
 			again := engine
-			again.Born = 2
+			again.Incarnation = 2
 			p.Set(again)
 		}, 100, true},
 		{"one that was on its way is taken", func(p *placement.Placement) {
@@ -42,30 +42,30 @@
 		{"it has taken it", func(p *placement.Placement) { send(p, after(1210)).Began(after(1220)) }, 1230, true},
 		{"it has turned it away", func(p *placement.Placement) {
 			c := send(p, after(1210))
-			p.Rest(after(1220), "e", lasts)
-			c.End(after(1220), placement.Asked)
+			p.BackOff(after(1220), "e", lasts)
+			c.End(after(1220), placement.Throttled)
 		}, 2200, false},
-		{"its caller has left", func(p *placement.Placement) { send(p, after(1210)).End(after(1220), placement.Left) }, 1230, true},
+		{"its caller has left", func(p *placement.Placement) { send(p, after(1210)).End(after(1220), placement.Aborted) }, 1230, true},
 	} {
 		p := placement.New("h")
 		p.Set(engine)
-		p.Rest(start, "e", lasts)
+		p.BackOff(start, "e", lasts)
 		test.does(p)
 		c, ok := p.Choose(after(test.at), r)
 		if ok != test.chosen {
 			t.Errorf("%s: chosen %v", test.name, ok)
 		}
-		if !ok && !c.Opens.After(after(test.at)) {
-			t.Errorf("%s: it opens at %v", test.name, c.Opens)
+		if !ok && !c.AvailableAt.After(after(test.at)) {
+			t.Errorf("%s: it opens at %v", test.name, c.AvailableAt)
 		}
 	}
 }
 
-// TestLongRestsAreBounded holds that an engine that asks for more than it can mean is tried again.
-func TestLongRestsAreBounded(t *testing.T) {
+// TestLongBackoffsAreBounded holds that an engine that asks for more than it can mean is tried again.
+func TestLongBackoffsAreBounded(t *testing.T) {
 	p := placement.New("h")
 	p.Set(placement.Engine{ID: "e", Pool: "p", Hall: "h", Slots: 8})
-	p.Rest(start, "e", 24*time.Hour)
+	p.BackOff(start, "e", 24*time.Hour)
 	if _, ok := p.Choose(start.Add(9*time.Minute), placement.Request{Pool: "p"}); ok {
 		t.Error("it is used after nine minutes")
 	}
--- a/internal/placement/restart_test.go
+++ b/internal/placement/restart_test.go
@@ -12,7 +12,7 @@
 // nothing, and that the requests in flight there are lost.
 func TestARestartedEngineHasNothingOfBefore(t *testing.T) {
 	p := placement.New("hall")
-	first := placement.Engine{ID: "e", Pool: "p", Hall: "hall", Slots: 8, Born: 100, Since: 5}
+	first := placement.Engine{ID: "e", Pool: "p", Hall: "hall", Slots: 8, Incarnation: 100, SinceVersion: 5}
 	p.Set(first)
 	r := long(1)
 	failed := p.Start(start, choose(t, p, start, r), r)
@@ -22,14 +22,14 @@
 	lost := 0
 	inFlight.OnLost(func() { lost++ })
 	part := r.Prompt.Shared[0].ID
-	p.Peer(start, "peer", 5, map[string]placement.Load{"e": {Unread: 50000, InFlight: 9}}, []placement.Use{{Engine: "e", Part: part}})
+	p.UpdatePeer(start, "peer", 5, map[string]placement.Load{"e": {PrefillTokens: 50000, InFlight: 9}}, []placement.Use{{Engine: "e", Part: part}})
 	before := choose(t, p, start, r)
 
 	if p.Set(first) {
 		t.Error("an entry of the same incarnation counts as a start")
 	}
 	again := first
-	again.Born, again.Since = 50, 9 // The engine's clock may have been set back.
+	again.Incarnation, again.SinceVersion = 50, 9 // The engine's clock may have been set back.
 	if !p.Set(again) || lost != 1 {
 		t.Errorf("a new incarnation is no start, or the request in flight is not lost (%d)", lost)
 	}
@@ -41,7 +41,7 @@
 	if len(p.TakeUses()) > 0 {
 		t.Error("peers are told of parts that the former incarnation has read")
 	}
-	p.Peer(start, "peer", 8, map[string]placement.Load{"e": {Unread: 50000, InFlight: 9}}, []placement.Use{{Engine: "e", Part: part}})
+	p.UpdatePeer(start, "peer", 8, map[string]placement.Load{"e": {PrefillTokens: 50000, InFlight: 9}}, []placement.Use{{Engine: "e", Part: part}})
 	inFlight.End(start, placement.Failed)
 	fresh := placement.New("hall")
 	fresh.Set(again)
@@ -51,26 +51,26 @@
 	if len(p.Loads()) > 0 || p.PeersAt("e") > 0 {
 		t.Errorf("work of the former incarnation is left: %v, %d peers", p.Loads(), p.PeersAt("e"))
 	}
-	p.Peer(start, "peer", 9, map[string]placement.Load{"e": {InFlight: 1}}, nil)
+	p.UpdatePeer(start, "peer", 9, map[string]placement.Load{"e": {InFlight: 1}}, nil)
 	if p.PeersAt("e") != 1 {
 		t.Error("a peer that knows of the start is not believed")
 	}
 }
 
-// TestQuietCountsFromTheLastSign holds for how long a request has had no sign of its engine.
-func TestQuietCountsFromTheLastSign(t *testing.T) {
+// TestIdleCountsFromTheLastResponse holds for how long a request has had no sign of its engine.
+func TestIdleCountsFromTheLastResponse(t *testing.T) {
 	p := placement.New("hall")
 	p.Set(placement.Engine{ID: "e", Pool: "p", Hall: "hall", Slots: 8})
 	call := p.Start(start, choose(t, p, start, long(1)), long(1))
-	for _, sign := range []func(time.Time){func(time.Time) {}, call.Began, call.Heard} {
+	for _, sign := range []func(time.Time){func(time.Time) {}, call.Began, call.Received} {
 		sign(start.Add(time.Second))
 		sign(start)
-		if got := call.Quiet(start.Add(2 * time.Second)); got > 2*time.Second {
+		if got := call.Idle(start.Add(2 * time.Second)); got > 2*time.Second {
 			t.Errorf("quiet for %v", got)
 		}
 	}
-	call.Heard(start.Add(time.Second))
-	if got := call.Quiet(start.Add(1500 * time.Millisecond)); got != 500*time.Millisecond {
+	call.Received(start.Add(time.Second))
+	if got := call.Idle(start.Add(1500 * time.Millisecond)); got != 500*time.Millisecond {
 		t.Errorf("quiet for %v, want since the last bytes", got)
 	}
 }
--- a/internal/placement/speed_test.go
+++ b/internal/placement/speed_test.go
@@ -8,9 +8,9 @@
 	"github.com/croftturn/croftturn/internal/placement"
 )
 
-// read lets an engine read one prompt alone at a rate, in tokens a millisecond, and
+// prefill lets an engine prefill one prompt alone at a rate, in tokens a millisecond, and
 // returns what was expected of it.
-func read(t *testing.T, p *placement.Placement, now time.Time, rate float64) placement.Choice {
+func prefill(t *testing.T, p *placement.Placement, now time.Time, rate float64) placement.Choice {
 	t.Helper()
 	r := placement.Request{Pool: "p", Prompt: placement.Prompt{Tokens: 9000}}
 	c := choose(t, p, now, r)
@@ -21,27 +21,27 @@
 	return c
 }
 
-// TestReadingRateIsLearned holds that the expected wait follows the rate at which
+// TestPrefillRateIsLearned holds that the expected wait follows the rate at which
 // engines are seen to read, whether they are slow or fast, and that an engine which
 // once stood still does not count as slow for long.
-func TestReadingRateIsLearned(t *testing.T) {
+func TestPrefillRateIsLearned(t *testing.T) {
 	for _, rate := range []float64{12, 45, 180} {
 		p := newPlacement(2)
 		now := start
 		for range 30 {
-			read(t, p, now, rate)
+			prefill(t, p, now, rate)
 			now = now.Add(time.Second)
 		}
-		if got := read(t, p, now, rate).Wait * rate / 9000; math.Abs(got-1) > 0.3 {
+		if got := prefill(t, p, now, rate).Wait * rate / 9000; math.Abs(got-1) > 0.3 {
 			t.Errorf("at %v tokens a millisecond the expected wait is %.2f of the true one", rate, got)
 		}
-		read(t, p, now, rate/50)
+		prefill(t, p, now, rate/50)
 		now = now.Add(time.Minute)
 		for range 4 {
 			now = now.Add(5 * time.Second)
-			read(t, p, now, rate)
+			prefill(t, p, now, rate)
 		}
-		if got := read(t, p, now.Add(time.Second), rate).Wait * rate / 9000; math.Abs(got-1) > 0.5 {
+		if got := prefill(t, p, now.Add(time.Second), rate).Wait * rate / 9000; math.Abs(got-1) > 0.5 {
 			t.Errorf("at %v tokens a millisecond, after a stand-still: %.2f of the true one", rate, got)
 		}
 	}
--- a/internal/placement/start_test.go
+++ b/internal/placement/start_test.go
@@ -22,7 +22,7 @@
 	at := map[string]int{}
 	most := 0
 	for node := range nodes {
-		p := placement.New("hall", placement.WithUnheard(func(time.Time) int { return nodes - 1 }))
+		p := placement.New("hall", placement.WithUnseenNodes(func(time.Time) int { return nodes - 1 }))
 		for i := range 112 {
 			p.Set(placement.Engine{ID: fmt.Sprintf("e%d", i), Pool: "p", Hall: "hall", Slots: places})
 		}
--- a/internal/placement/weigh.go
+++ b/internal/placement/weigh.go
@@ -109,23 +109,23 @@
 // evaluate works out the cost of a request at an engine.
 func (p *Placement) evaluate(now time.Time, known *pool, e *engine, r Request, beyond, rank int) Choice {
 	load := e.load(now)
-	c := Choice{Engine: e.Engine, Read: known.medianPrefillRate}
+	c := Choice{Engine: e.Engine, PrefillRate: known.medianPrefillRate}
 	if r.Prompt.Tokens > 0 {
-		c.Unread = p.cache.uncachedTokens(now, e.ID, r.Prompt)
-		c.Ahead = load.Unread + c.Unread
-		c.Wait = float64(c.Ahead) / c.Read
-		c.Tight = r.gapSensitive
+		c.PrefillTokens = p.cache.uncachedTokens(now, e.ID, r.Prompt)
+		c.QueuedTokens = load.PrefillTokens + c.PrefillTokens
+		c.Wait = float64(c.QueuedTokens) / c.PrefillRate
+		c.GapSensitive = r.gapSensitive
 		c.Cost += known.minCost(r, rank)
 		c.Cost += known.lateness(load, c, r, beyond)
 	}
-	c.Cost += prefillWeight * float64(c.Unread) / c.Read
+	c.Cost += prefillWeight * float64(c.PrefillTokens) / c.PrefillRate
 	c.Cost += c.Wait + inFlightCost*float64(load.InFlight) + waitingCost*float64(e.waiting(now))
-	c.Room = e.Slots <= 0 || load.InFlight < e.Slots || known.occupancy < waitingShare
-	c.Scarce = e.Slots > 0 && (known.partialView || known.occupancy >= scarceShare || float64(load.InFlight) >= scarceShare*float64(e.Slots))
-	c.Last = e.Slots > 0 && known.occupancy >= reservedShare
+	c.SlotAvailable = e.Slots <= 0 || load.InFlight < e.Slots || known.occupancy < waitingShare
+	c.SlotsScarce = e.Slots > 0 && (known.partialView || known.occupancy >= scarceShare || float64(load.InFlight) >= scarceShare*float64(e.Slots))
+	c.SlotsReserved = e.Slots > 0 && known.occupancy >= reservedShare
 	if over := load.InFlight - e.Slots; e.Slots > 0 && over >= 0 {
 		c.Cost += overloadCost * float64(1+over)
-		if r.NeedRoom && !c.Room {
+		if r.NeedSlot && !c.SlotAvailable {
 			c.Cost += noSlotCost
 		}
 	}
@@ -153,7 +153,7 @@
 // is a stream which what the engine has to read makes late. Streams gather; beyond
 // tells how far the engine lies beyond those on which they do.
 func (p *pool) lateness(load Load, c Choice, r Request, beyond int) float64 {
-	if c.Tight {
+	if c.GapSensitive {
 		return spreadCost*float64(min(beyond, maxSpread)) + lateStreamCost*excess(c, milliseconds(r.MaxGap))
 	}
 	if load.Streams == 0 || p.minStreamGap == 0 {
@@ -165,8 +165,8 @@
 // excess tells how much more an engine has to read than streams there bear whose
 // callers bear a pause, in milliseconds: 0 for no more, 1 for twice as much.
 func excess(c Choice, gap float64) float64 {
-	bearable := backlogGapShare * gap * c.Read
-	return min(max((float64(c.Ahead)-bearable)/bearable, 0), 1)
+	bearable := backlogGapShare * gap * c.PrefillRate
+	return min(max((float64(c.QueuedTokens)-bearable)/bearable, 0), 1)
 }
 
 // milliseconds turns a duration into milliseconds.
--- a/lab/soak/planted_test.go
+++ b/lab/soak/planted_test.go
@@ -25,7 +25,7 @@
 	{"a stream is ended by a failure", " got ", "engines misbehave", "internal/dispatch/relay.go", "if w.begun && !success {", "if w.begun && !success && w.sent > 9 {"},
 	{"a request that may have run is called not run", "though its caller got", "", "internal/dispatch/walk.go", "w.refuse(Refusal{Reason: w.lateOr(now, Broken)})", "w.refuse(Refusal{Reason: NoEngine})"},
 	{"a proof never grows old", "after its key was taken away", "key taken away unseen", "internal/freshness/freshness.go", "return p.proven && now.Sub(p.at) <= p.maxAge", "return p.proven"},
-	{"an engine that leaves gets new work", "after it said that it leaves", "", "internal/discovery/discovery.go", "e.Draining, e.Since = present.draining, present.since", "e.Draining, e.Since = false, present.since"},
+	{"an engine that leaves gets new work", "after it said that it leaves", "", "internal/discovery/discovery.go", "e.Draining, e.SinceVersion = present.draining, present.since", "e.Draining, e.SinceVersion = false, present.since"},
 	{"what an answer says of leaving is not read", "that it leaves", "engine leaves, its entry ready", "platform/egress.go", `answer.Header.Get(headerLeaving) == "1"`, `answer.Header.Get(headerLeaving) == "never"`},
 	{"each node keeps to a limit by itself", "had named a limit", "engine names a limit", "internal/limit/permits.go", "case place.Self:", "case place.Self || !req.Passed:"},
 	{"a rest is forgotten", "of rest", "engine asks for rest", "internal/placement/rest.go", "return r.until", "return time.Time{}"},
