--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -6,32 +6,32 @@
 import "time"
 
 const (
-	// minReturn is the shortest time that a caller is asked to wait.
-	minReturn = 200 * time.Millisecond
+	// minRetryAfter is the shortest time that a caller is asked to wait.
+	minRetryAfter = 200 * time.Millisecond
 
-	// maxReturn is the longest; callers heed at most a third of the time they
+	// maxRetryAfter is the longest; callers heed at most a third of the time they
 	// have, and the users' longest prompts have four seconds.
-	maxReturn = 1300 * time.Millisecond
+	maxRetryAfter = 1300 * time.Millisecond
 
-	// returnedShare tells a request that was refused before: less of its time is
+	// retryTimeShare tells a request that was refused before: less of its time is
 	// left than a first sending would have.
-	returnedShare = 0.9
+	retryTimeShare = 0.9
 
-	// returnedPatience is how much more expected waiting a returned request is
+	// retryWaitFactor is how much more expected waiting a returned request is
 	// taken with; refusing it again helps nobody.
-	returnedPatience = 3.0
+	retryWaitFactor = 3.0
 
-	// pressedPatience is the patience to which that of higher tiers falls while all wait
+	// pressureWaitRatio is the patience to which that of higher tiers falls while all wait
 	// long: then a request that waits for over its target makes those after it late as
 	// well. Mean worth of four seeds with the fall and without: 0.644 and 0.631; of one
 	// seed with other engines: 0.687 and 0.657.
-	pressedPatience = 0.8
+	pressureWaitRatio = 0.8
 )
 
-// patience is the expected wait that is still accepted, as a share of the
+// waitRatios is the expected wait that is still accepted, as a share of the
 // target, by tier; tiers beyond the last have the last's. Higher tiers bear
 // more, so that lower ones are refused before them; the highest is never refused.
-var patience = []float64{0, 1.5, 0.4}
+var waitRatios = []float64{0, 1.5, 0.4}
 
 // Request is what admission needs to know of a request.
 type Request struct {
@@ -48,10 +48,10 @@
 	Pressure float64
 }
 
-// patience returns the expected wait that is still accepted, as a share of the target.
-func (r *Request) patience() float64 {
-	calm := patience[min(r.Tier, len(patience)-1)]
-	return calm - r.Pressure*max(0, calm-pressedPatience)
+// maxWaitRatio returns the expected wait that is still accepted, as a share of the target.
+func (r *Request) maxWaitRatio() float64 {
+	ratio := waitRatios[min(r.Tier, len(waitRatios)-1)]
+	return ratio - r.Pressure*max(0, ratio-pressureWaitRatio)
 }
 
 // Limit returns the expected wait with which a request that comes for the first time is still taken; ok is false
@@ -60,12 +60,12 @@
 	if r.Tier <= 0 || r.Target <= 0 {
 		return 0, false
 	}
-	return time.Duration(r.patience() * float64(r.Target)), true
+	return time.Duration(r.maxWaitRatio() * float64(r.Target)), true
 }
 
 // Decide reports whether the request is taken, and if not, when its caller
 // should come back.
-func Decide(r Request) (comeBack time.Duration, ok bool) {
+func Decide(r Request) (retryAfter time.Duration, ok bool) {
 	limit, bounded := r.Limit()
 	if !bounded {
 		return 0, true
@@ -73,11 +73,11 @@
 	if r.Most > 0 {
 		limit = min(limit, r.Most)
 	}
-	if r.Left < time.Duration(returnedShare*float64(r.Timeout)) {
-		limit = time.Duration(returnedPatience * float64(limit))
+	if r.Left < time.Duration(retryTimeShare*float64(r.Timeout)) {
+		limit = time.Duration(retryWaitFactor * float64(limit))
 	}
 	if r.Wait <= limit {
 		return 0, true
 	}
-	return min(max(r.Wait-limit/2, minReturn), maxReturn), false
+	return min(max(r.Wait-limit/2, minRetryAfter), maxRetryAfter), false
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -22,13 +22,13 @@
 	}
 }
 
-// TestReturnedRequestsAreBorneLonger holds that a request which was refused once
+// TestRetriesTolerateLongerWaits holds that a request which was refused once
 // is not refused again at the same wait, and that times to come back are bounded.
-func TestReturnedRequestsAreBorneLonger(t *testing.T) {
+func TestRetriesTolerateLongerWaits(t *testing.T) {
 	r := admission.Request{Tier: 2, Target: time.Second, Timeout: 4 * time.Second, Left: 4 * time.Second, Wait: 700 * time.Millisecond}
-	comeBack, ok := admission.Decide(r)
-	if ok || comeBack < 100*time.Millisecond || comeBack > 1400*time.Millisecond {
-		t.Errorf("first: %v %v", comeBack, ok)
+	retryAfter, ok := admission.Decide(r)
+	if ok || retryAfter < 100*time.Millisecond || retryAfter > 1400*time.Millisecond {
+		t.Errorf("first: %v %v", retryAfter, ok)
 	}
 	r.Left = 3 * time.Second
 	if _, ok := admission.Decide(r); !ok {
--- a/internal/admission/pressure.go
+++ b/internal/admission/pressure.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	// longShare is the share of a target from which an expected wait counts as long.
-	longShare = 0.7
+	// longWaitShare is the share of a target from which an expected wait counts as long.
+	longWaitShare = 0.7
 
-	// pressureMemory is the time in which the newest request's wait counts half: a pool
+	// pressureHalfLife is the time in which the newest request's wait counts half: a pool
 	// falls behind, and catches up, within a few prompts.
-	pressureMemory = 300 * time.Millisecond
+	pressureHalfLife = 300 * time.Millisecond
 
 	// pressureStep is the most that one request counts, where they are rare.
 	pressureStep = 0.5
@@ -32,9 +32,9 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	age := max(0, now.Sub(p.at).Seconds())
-	keep := max(1-pressureStep, math.Exp2(-age/pressureMemory.Seconds()))
+	keep := max(1-pressureStep, math.Exp2(-age/pressureHalfLife.Seconds()))
 	p.share *= keep
-	if float64(wait) > longShare*float64(target) {
+	if float64(wait) > longWaitShare*float64(target) {
 		p.share += 1 - keep
 	}
 	p.at = now
--- a/internal/admission/pressure_test.go
+++ b/internal/admission/pressure_test.go
@@ -31,9 +31,9 @@
 	}
 }
 
-// TestPatienceFallsUnderPressure holds that a wait which is borne while others wait
+// TestToleratedWaitFallsUnderPressure holds that a wait which is borne while others wait
 // shortly is refused where most wait long, and that pressure never lets more in.
-func TestPatienceFallsUnderPressure(t *testing.T) {
+func TestToleratedWaitFallsUnderPressure(t *testing.T) {
 	for tier := 1; tier < 4; tier++ {
 		for wait := time.Duration(0); wait < 3*time.Second; wait += 50 * time.Millisecond {
 			r := admission.Request{Tier: tier, Target: time.Second, Timeout: 6 * time.Second, Left: 6 * time.Second, Wait: wait}
--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -23,16 +23,16 @@
 const (
 	rowPrefix = "order/"
 
-	// sendWithin is how long after it began to prove an order current a node may
+	// sendTimeout is how long after it began to prove an order current a node may
 	// still send it, on its own monotonic clock.
-	sendWithin = time.Second
+	sendTimeout = time.Second
 
 	// takeOverAfter is how long a node watches another's unfinished sending before
 	// it takes over. It is longer than sendWithin, so that the other's time is up.
-	takeOverAfter = 3 * sendWithin
+	takeOverAfter = 3 * sendTimeout
 
-	// lookEvery is how often orders that are still to be sent are looked at.
-	lookEvery = 250 * time.Millisecond
+	// pollInterval is how often orders that are still to be sent are looked at.
+	pollInterval = 250 * time.Millisecond
 )
 
 // ErrNotCurrent says that an order could not be proved current; it was not sent.
@@ -66,21 +66,21 @@
 		log     *slog.Logger
 		wg      sync.WaitGroup
 
-		mu   sync.Mutex
-		sent map[string]int // sent is the newest fence that each engine has.
-		busy map[string]bool
-		seen map[string]sighting
+		mu        sync.Mutex
+		delivered map[string]int // sent is the newest fence that each engine has.
+		busy      map[string]bool
+		observed  map[string]observation
 	}
 
-	// sending is the row of an engine that does not check fences.
-	sending struct {
+	// sendRecord is the row of an engine that does not check fences.
+	sendRecord struct {
 		Fence int    `json:"fence"`
 		Node  string `json:"node"`
 		Done  bool   `json:"done"`
 	}
 
-	// sighting is when this node first saw a row at a version.
-	sighting struct {
+	// observation is when this node first saw a row at a version.
+	observation struct {
 		version int
 		at      time.Time
 	}
@@ -90,18 +90,18 @@
 func New(store *config.Store, table Table, sender Sender, brokers Brokers, node string, log *slog.Logger) *Service {
 	return &Service{
 		store: store, table: table, sender: sender, brokers: brokers, node: node, log: log,
-		sent: map[string]int{}, busy: map[string]bool{}, seen: map[string]sighting{},
+		delivered: map[string]int{}, busy: map[string]bool{}, observed: map[string]observation{},
 	}
 }
 
 // Run sends orders until the context ends, and waits for those on their way.
 func (s *Service) Run(ctx context.Context) {
 	defer s.wg.Wait()
-	tick := time.NewTicker(lookEvery)
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for {
 		changed := s.store.Changed()
-		s.look(ctx)
+		s.sendPending(ctx)
 		select {
 		case <-ctx.Done():
 			return
@@ -111,46 +111,46 @@
 	}
 }
 
-// look starts a sending for each engine whose newest order it does not have.
-func (s *Service) look(ctx context.Context) {
+// sendPending starts a sending for each engine whose newest order it does not have.
+func (s *Service) sendPending(ctx context.Context) {
 	view := s.store.View()
 	if view == nil {
 		return
 	}
 	for i := range view.Config.Engines {
 		e := view.Config.Engines[i]
-		if e.Order == "" || !s.brokers.Owns(e.Pool) || !s.begin(e) {
+		if e.Order == "" || !s.brokers.Owns(e.Pool) || !s.tryStart(e) {
 			continue
 		}
 		s.wg.Add(1)
 		go func() {
 			defer s.wg.Done()
 			err := s.Deliver(ctx, clock.Now(), &e)
-			s.end(e, err)
+			s.finish(e, err)
 		}()
 	}
 }
 
-// begin reports whether an order is to be sent now, and marks its engine busy.
-func (s *Service) begin(e config.Engine) bool {
+// tryStart reports whether an order is to be sent now, and marks its engine busy.
+func (s *Service) tryStart(e config.Engine) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.busy[e.Name] || s.sent[e.Name] >= e.OrderFence {
+	if s.busy[e.Name] || s.delivered[e.Name] >= e.OrderFence {
 		return false
 	}
 	s.busy[e.Name] = true
 	return true
 }
 
-// end notes what came of a sending.
-func (s *Service) end(e config.Engine, err error) {
+// finish notes what came of a sending.
+func (s *Service) finish(e config.Engine, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.busy[e.Name] = false
 	var old *OldFenceError
 	switch {
 	case err == nil || errors.As(err, &old):
-		s.sent[e.Name] = e.OrderFence
+		s.delivered[e.Name] = e.OrderFence
 		s.log.Info("order given", "engine", e.Name, "fence", e.OrderFence, "order", e.Order)
 	default:
 		s.log.Debug("order not given yet", "engine", e.Name, "fence", e.OrderFence, "error", err.Error())
@@ -166,39 +166,39 @@
 // Deliver sends one order, after proving it current where the engine does not
 // check fences. now is when the proof begins.
 func (s *Service) Deliver(ctx context.Context, now time.Time, e *config.Engine) error {
-	deadline := now.Add(sendWithin)
+	deadline := now.Add(sendTimeout)
 	if e.ChecksFence {
 		return s.sender.Order(ctx, e.Address, e.OrderFence, e.Order, deadline)
 	}
-	row, err := s.prove(ctx, now, e)
+	row, err := s.verify(ctx, now, e)
 	if err != nil {
 		return err
 	}
 	if err := s.sender.Order(ctx, e.Address, e.OrderFence, e.Order, deadline); err != nil {
 		return fmt.Errorf("send order: %w", err)
 	}
-	return s.write(ctx, e, row.Version+1, sending{Fence: e.OrderFence, Node: s.node, Done: true}, nil)
+	return s.write(ctx, e, row.Version+1, sendRecord{Fence: e.OrderFence, Node: s.node, Done: true}, nil)
 }
 
-// prove takes the engine's row for this order, in one transaction that fails
+// verify takes the engine's row for this order, in one transaction that fails
 // unless the configuration is still the one that made the order the newest. It
 // waits while another node may still be sending.
-func (s *Service) prove(ctx context.Context, now time.Time, e *config.Engine) (kv.Row, error) {
+func (s *Service) verify(ctx context.Context, now time.Time, e *config.Engine) (kv.Row, error) {
 	row, err := s.table.Get(ctx, rowPrefix+e.Name)
 	if err != nil {
 		return row, fmt.Errorf("%w: %w", ErrNotCurrent, err)
 	}
-	var have sending
+	var current sendRecord
 	if row.Version > 0 {
-		if err := json.Unmarshal(row.Value, &have); err != nil {
+		if err := json.Unmarshal(row.Value, &current); err != nil {
 			return row, fmt.Errorf("decode %s: %w: %w", row.Key, ErrNotCurrent, err)
 		}
 	}
-	if have.Fence > e.OrderFence || (have.Done && have.Fence == e.OrderFence) {
+	if current.Fence > e.OrderFence || (current.Done && current.Fence == e.OrderFence) {
 		return row, &OldFenceError{Engine: e.Address}
 	}
-	if row.Version > 0 && !have.Done && !s.outlasted(now, e.Name, row.Version) {
-		return row, fmt.Errorf("%w: %s may still be sending", ErrNotCurrent, have.Node)
+	if row.Version > 0 && !current.Done && !s.sendExpired(now, e.Name, row.Version) {
+		return row, fmt.Errorf("%w: %s may still be sending", ErrNotCurrent, current.Node)
 	}
 	head, err := s.table.Get(ctx, config.HeadKey)
 	if err != nil {
@@ -208,32 +208,32 @@
 		return row, fmt.Errorf("%w: the configuration here is not the newest", ErrNotCurrent)
 	}
 	check := &kv.Check{Key: config.HeadKey, Version: head.Version}
-	return row, s.write(ctx, e, row.Version, sending{Fence: e.OrderFence, Node: s.node}, check)
+	return row, s.write(ctx, e, row.Version, sendRecord{Fence: e.OrderFence, Node: s.node}, check)
 }
 
-// outlasted reports whether another node's unfinished sending was seen for so
+// sendExpired reports whether another node's unfinished sending was seen for so
 // long that its time is up.
-func (s *Service) outlasted(now time.Time, engine string, version int) bool {
+func (s *Service) sendExpired(now time.Time, engine string, version int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if seen := s.seen[engine]; seen.version == version {
+	if seen := s.observed[engine]; seen.version == version {
 		return now.Sub(seen.at) > takeOverAfter
 	}
-	s.seen[engine] = sighting{version, now}
+	s.observed[engine] = observation{version, now}
 	return false
 }
 
 // write writes an engine's row from a version. A write whose fate is not known
 // counts as failed: the order is not sent on it.
-func (s *Service) write(ctx context.Context, e *config.Engine, version int, row sending, also *kv.Check) error {
+func (s *Service) write(ctx context.Context, e *config.Engine, version int, row sendRecord, headCheck *kv.Check) error {
 	text, err := json.Marshal(row)
 	if err != nil {
 		return fmt.Errorf("encode order row: %w", err)
 	}
 	key := rowPrefix + e.Name
 	txn := kv.Txn{Checks: []kv.Check{{Key: key, Version: version}}, Puts: []kv.Put{{Key: key, Value: text}}}
-	if also != nil {
-		txn.Checks = append(txn.Checks, *also)
+	if headCheck != nil {
+		txn.Checks = append(txn.Checks, *headCheck)
 	}
 	if err := s.table.Transact(ctx, txn); err != nil {
 		return fmt.Errorf("%w: %w", ErrNotCurrent, err)
@@ -256,7 +256,7 @@
 			continue
 		}
 		row := wire.Row{Name: e.Name, Engine: e.Name, Pool: e.Pool, State: "pending", Reason: e.Order, Count: e.OrderFence}
-		if s.sent[e.Name] >= e.OrderFence {
+		if s.delivered[e.Name] >= e.OrderFence {
 			row.State = "given"
 		}
 		out = append(out, row)
--- a/internal/order/order_test.go
+++ b/internal/order/order_test.go
@@ -108,9 +108,9 @@
 	}
 }
 
-// TestOrderIsNotSentWithANewerConfiguration holds that a node whose
+// TestOrderIsNotSentFromAnOldConfiguration holds that a node whose
 // configuration is behind, or falls behind while it proves, sends nothing.
-func TestOrderIsNotSentWithANewerConfiguration(t *testing.T) {
+func TestOrderIsNotSentFromAnOldConfiguration(t *testing.T) {
 	s := &sender{}
 	if err := service(t, newTable(6), s, "n1").Deliver(context.Background(), start, &e1); !errors.Is(err, order.ErrNotCurrent) {
 		t.Errorf("behind: %v", err)
@@ -125,9 +125,9 @@
 	}
 }
 
-// TestUnfinishedSendingIsOutlasted holds that a node takes over another's
+// TestUnfinishedSendIsTakenOverAfterItExpires holds that a node takes over another's
 // sending only after it has watched it for longer than that may last.
-func TestUnfinishedSendingIsOutlasted(t *testing.T) {
+func TestUnfinishedSendIsTakenOverAfterItExpires(t *testing.T) {
 	tab, s := newTable(5), &sender{err: errors.New("no answer")}
 	if err := service(t, tab, s, "n1").Deliver(context.Background(), start, &e1); err == nil {
 		t.Fatal("a failed sending gave no error")
@@ -147,8 +147,8 @@
 	}
 }
 
-// TestEngineThatChecksNeedsNoProof holds that its own refusal is enough.
-func TestEngineThatChecksNeedsNoProof(t *testing.T) {
+// TestEngineThatChecksFencesNeedsNoVerification holds that its own refusal is enough.
+func TestEngineThatChecksFencesNeedsNoVerification(t *testing.T) {
 	checked := e1
 	checked.ChecksFence = true
 	s := &sender{err: &order.OldFenceError{Engine: "a"}}
--- a/internal/pause/backoff.go
+++ b/internal/pause/backoff.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	// backoffFirst and backoffMost bound the pause after a failed call to the platform's
+	// minBackoff and backoffMost bound the pause after a failed call to the platform's
 	// store, which answers within some 10 ms and is away for seconds.
-	backoffFirst = 50 * time.Millisecond
-	backoffMost  = 800 * time.Millisecond
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = 800 * time.Millisecond
 )
 
 // Backoff is the pause after failures in a row. It doubles with each of them. The zero
@@ -25,11 +25,11 @@
 
 // step returns the usual length of the present pause and doubles the next.
 func (b *Backoff) step() time.Duration {
-	d := max(b.next, backoffFirst)
-	b.next = min(2*d, backoffMost)
+	d := max(b.next, minBackoff)
+	b.next = min(2*d, maxBackoff)
 	return d
 }
 
 // Spread pauses for a duration drawn by chance between half of it and half as long
 // again, so that nodes which start together do not call together.
-func Spread(ctx context.Context, usual time.Duration) { For(ctx, usual/2+rand.N(usual)) }
+func Spread(ctx context.Context, mean time.Duration) { For(ctx, mean/2+rand.N(mean)) }
--- a/internal/placement/cache_test.go
+++ b/internal/placement/cache_test.go
@@ -57,7 +57,7 @@
 // more of them process that part again.
 func TestSharedPartsAreReadNoMoreOftenOnMoreEngines(t *testing.T) {
 	const sessions = 1000
-	anew := map[int]int{}
+	uncached := map[int]int{}
 	for _, engines := range []int{1000, 8000} {
 		p := newPlacement(engines)
 		now := start
@@ -65,7 +65,7 @@
 			r := long(i)
 			c := choose(t, p, now, r)
 			if c.PrefillTokens == r.Prompt.Tokens {
-				anew[engines]++
+				uncached[engines]++
 			}
 			call := p.Start(now, c, r)
 			call.Began(now.Add(100 * time.Millisecond))
@@ -73,8 +73,8 @@
 			now = now.Add(10 * time.Millisecond)
 		}
 	}
-	t.Logf("prompts processed from scratch, by number of engines: %v", anew)
-	if float64(anew[8000]) > 1.5*float64(anew[1000]) {
-		t.Errorf("the shared part was processed from scratch %d times on 8,000 engines, %d times on 1,000", anew[8000], anew[1000])
+	t.Logf("prompts processed from scratch, by number of engines: %v", uncached)
+	if float64(uncached[8000]) > 1.5*float64(uncached[1000]) {
+		t.Errorf("the shared part was processed from scratch %d times on 8,000 engines, %d times on 1,000", uncached[8000], uncached[1000])
 	}
 }
--- a/internal/placement/call.go
+++ b/internal/placement/call.go
@@ -205,14 +205,14 @@
 			e.setPeer(now, peer, Load{})
 		}
 	}
-	told := p.peerEngines[peer][:0]
+	reported := p.peerEngines[peer][:0]
 	for id, l := range loads {
 		if e := p.engines[id]; e != nil && known >= e.SinceVersion {
 			e.setPeer(now, peer, l)
-			told = append(told, id)
+			reported = append(reported, id)
 		}
 	}
-	p.peerEngines[peer] = told
+	p.peerEngines[peer] = reported
 	for _, u := range uses {
 		if e := p.engines[u.Engine]; e != nil && known >= e.SinceVersion {
 			p.cache.recordUse(now, u.Engine, u.Part)
--- a/internal/placement/cold.go
+++ b/internal/placement/cold.go
@@ -30,12 +30,12 @@
 
 // senders holds the nodes that send requests, by the hashes of their names.
 type senders struct {
-	self     string
-	names    func(now time.Time) []string
-	at       time.Time
-	hashes   []uint64
-	checksum uint64 // order-independent checksum of hashes
-	change   int    // number of changes of the node set
+	self       string
+	names      func(now time.Time) []string
+	at         time.Time
+	hashes     []uint64
+	checksum   uint64 // order-independent checksum of hashes
+	generation int    // number of changes of the node set
 }
 
 // WithSenders sets the names of the nodes that send requests and which of them this node is. The
@@ -73,8 +73,8 @@
 // it must not send any, because other nodes rank before it for that engine.
 func (p *Placement) coldInterval(now time.Time, known *pool, e *engine) time.Duration {
 	all := p.senders.current(now)
-	if e.cold.limit != known.coldLimit || e.cold.generation != p.senders.change {
-		e.cold = coldPacing{limit: known.coldLimit, generation: p.senders.change, interval: computeColdInterval(known.coldLimit, e.hash, all)}
+	if e.cold.limit != known.coldLimit || e.cold.generation != p.senders.generation {
+		e.cold = coldPacing{limit: known.coldLimit, generation: p.senders.generation, interval: computeColdInterval(known.coldLimit, e.hash, all)}
 	}
 	return e.cold.interval
 }
@@ -82,7 +82,7 @@
 // computeColdInterval computes coldInterval from the hash of an engine and those of the sending
 // nodes, this node's first.
 func computeColdInterval(limit float64, engine uint64, all []uint64) time.Duration {
-	many := min(max(1, int(limit/minColdRatePerSender)), len(all))
+	maxSenders := min(max(1, int(limit/minColdRatePerSender)), len(all))
 	own := mix(engine ^ all[0])
 	before := 0
 	for _, other := range all[1:] {
@@ -90,10 +90,10 @@
 			before++
 		}
 	}
-	if before >= many {
+	if before >= maxSenders {
 		return 0
 	}
-	share := coldUtilization * limit / float64(many)
+	share := coldUtilization * limit / float64(maxSenders)
 	return time.Duration(float64(time.Second) / max(share-1, share/2)) // One more request may go out at any moment, besides those of a second.
 }
 
@@ -114,7 +114,7 @@
 	}
 	if sum != s.checksum {
 		s.checksum = sum
-		s.change++
+		s.generation++
 	}
 	return s.hashes
 }
--- a/internal/placement/held_test.go
+++ b/internal/placement/held_test.go
@@ -13,11 +13,11 @@
 func TestThrottledEnginesAddNoCapacity(t *testing.T) {
 	const engines, slots = 6, 10
 	for _, test := range []struct {
-		name                 string
-		limited, resting     int
-		busy                 int // requests at each other engine
-		free                 int
-		scarce, lastOfPlaces bool
+		name             string
+		limited, resting int
+		busy             int // requests at each other engine
+		free             int
+		scarce, reserved bool
 	}{
 		{"none", 0, 0, 2, 6, false, false},
 		{"two limited", 2, 0, 7, 4, true, false},
@@ -42,7 +42,7 @@
 		}
 		p.UpdatePeer(now, "peer", 0, loads, nil)
 		c, ok := p.Choose(now, placement.Request{Pool: "p"})
-		if !ok || c.Engines != engines || c.Usable != test.free || c.SlotsScarce != test.scarce || c.SlotsReserved != test.lastOfPlaces {
+		if !ok || c.Engines != engines || c.Usable != test.free || c.SlotsScarce != test.scarce || c.SlotsReserved != test.reserved {
 			t.Errorf("%s: %+v", test.name, c)
 		}
 	}
--- a/internal/placement/late.go
+++ b/internal/placement/late.go
@@ -56,12 +56,12 @@
 )
 
 // note records a gap.
-func (p gapStats) note(pause time.Duration) {
+func (p gapStats) note(gap time.Duration) {
 	for bound, t := range p {
 		t.seen *= 1 - 1.0/gapWindow
 		t.over *= 1 - 1.0/gapWindow
 		t.seen++
-		if pause > bound {
+		if gap > bound {
 			t.over++
 		}
 	}
@@ -82,8 +82,8 @@
 
 // share returns the share of gaps beyond the limit; prior is the share assumed before any was
 // observed.
-func (t tail) share(first float64) float64 {
-	return (t.over + first*priorGaps) / (t.seen + priorGaps)
+func (t tail) share(prior float64) float64 {
+	return (t.over + prior*priorGaps) / (t.seen + priorGaps)
 }
 
 // gapSensitive reports whether a request is a stream with a short prompt that would be late too
@@ -106,9 +106,9 @@
 
 // noteGap records a gap between two chunks of a stream, unless the engine is one of those
 // reserved for separated streams.
-func (p *pool) noteGap(e *engine, pause time.Duration) {
-	apart := e.poolIndex <= p.streamEngines && p.streamEngines+1 < len(p.engines)
-	if !apart && pause >= minGap {
-		p.gaps.note(pause)
+func (p *pool) noteGap(e *engine, gap time.Duration) {
+	separated := e.poolIndex <= p.streamEngines && p.streamEngines+1 < len(p.engines)
+	if !separated && gap >= minGap {
+		p.gaps.note(gap)
 	}
 }
--- a/internal/placement/late_test.go
+++ b/internal/placement/late_test.go
@@ -8,18 +8,18 @@
 )
 
 // pauseAt runs a stream at an engine in which every nth gap is a long one; none if every is 0.
-func runStream(p *placement.Placement, e placement.Engine, pauses, every int, long time.Duration) {
+func runStream(p *placement.Placement, e placement.Engine, gaps, every int, long time.Duration) {
 	r := stream(1)
 	call := p.Start(start, placement.Choice{Engine: e}, r)
 	call.Began(start)
 	now := start
 	call.Received(now)
-	for n := range pauses {
-		pause := 60 * time.Millisecond
+	for n := range gaps {
+		gap := 60 * time.Millisecond
 		if every > 0 && n%every == 0 {
-			pause = long
+			gap = long
 		}
-		now = now.Add(pause)
+		now = now.Add(gap)
 		call.Received(now)
 	}
 	call.End(now, placement.Answered)
--- a/internal/placement/limit.go
+++ b/internal/placement/limit.go
@@ -33,19 +33,19 @@
 	defer p.mu.Unlock()
 	known := p.pool(r.Pool)
 	var first *engine
-	var opens time.Time
+	var availableAt time.Time
 	for _, e := range known.engines {
 		at, limited := p.limits.Opens(e.ID)
-		if !limited || now.Before(p.backoffUntil(now, e.ID)) || r.Avoid[e.ID] || !p.regionAllowed(r, e) || !p.allowsCold(now, known, e) || first != nil && !at.Before(opens) {
+		if !limited || now.Before(p.backoffUntil(now, e.ID)) || r.Avoid[e.ID] || !p.regionAllowed(r, e) || !p.allowsCold(now, known, e) || first != nil && !at.Before(availableAt) {
 			continue
 		}
-		first, opens = e, at
+		first, availableAt = e, at
 	}
 	if first == nil {
 		return Choice{}, false
 	}
 	choice = p.evaluate(now, known, first, r, max(0, first.poolIndex-known.streamEngines), 0)
-	choice.Limited, choice.AvailableAt, choice.Engines, choice.Usable = true, opens, len(known.engines), known.usable
+	choice.Limited, choice.AvailableAt, choice.Engines, choice.Usable = true, availableAt, len(known.engines), known.usable
 	return choice, true
 }
 
--- a/internal/placement/pool.go
+++ b/internal/placement/pool.go
@@ -95,27 +95,27 @@
 // that they bring. Streams are spread over these, so that nodes which do not see each other's
 // latest requests do not all choose one engine. Unseen nodes are assumed to have as many streams
 // as this one, and to add some when it does. The slots of throttled engines do not count.
-func (p *pool) refreshOccupancy(now time.Time, unheard int, heldBack func(now time.Time, e *engine) bool) {
-	streams, own, requests, places, most := 0, 1, 0, 0, maxStreamsPerEngine
+func (p *pool) refreshOccupancy(now time.Time, unseen int, throttled func(now time.Time, e *engine) bool) {
+	streams, own, requests, slots, maxStreams := 0, 1, 0, 0, maxStreamsPerEngine
 	p.usable = 0
 	for _, e := range p.engines {
 		load := e.load(now)
 		streams += load.Streams
 		own += e.own.Streams
-		if heldBack(now, e) {
+		if throttled(now, e) {
 			continue
 		}
 		p.usable++
 		if e.Slots > 0 {
 			requests += load.InFlight
-			places += e.Slots
-			most = min(most, max(1, int(maxStreamSlots*float64(e.Slots))))
+			slots += e.Slots
+			maxStreams = min(maxStreams, max(1, int(maxStreamSlots*float64(e.Slots))))
 		}
 	}
-	p.occupancy = float64(requests) / float64(max(1, places))
-	streams += unseenNodeWeight * unheard * own
-	p.partialView = unheard > 0
-	p.streamEngines = max(1+streams/most, p.fairStreamEngines())
+	p.occupancy = float64(requests) / float64(max(1, slots))
+	streams += unseenNodeWeight * unseen * own
+	p.partialView = unseen > 0
+	p.streamEngines = max(1+streams/maxStreams, p.fairStreamEngines())
 }
 
 // notePrefill records the prompt tokens that an engine has to process for a request.
--- a/internal/placement/rest.go
+++ b/internal/placement/rest.go
@@ -30,12 +30,12 @@
 
 // BackOff records that an engine asked this node to send nothing for a time. Of several backoffs
 // the latest end counts.
-func (p *Placement) BackOff(now time.Time, id string, lasts time.Duration) {
-	if lasts <= 0 {
+func (p *Placement) BackOff(now time.Time, id string, d time.Duration) {
+	if d <= 0 {
 		return
 	}
-	lasts = min(lasts, maxBackoff)
-	until := now.Add(lasts + time.Duration(rand.Float64()*float64(min(time.Duration(backoffJitter*float64(lasts)), maxBackoffJitter))))
+	d = min(d, maxBackoff)
+	until := now.Add(d + time.Duration(rand.Float64()*float64(min(time.Duration(backoffJitter*float64(d)), maxBackoffJitter))))
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	maps.DeleteFunc(p.backoffs, func(_ string, r *backoff) bool { return now.Sub(r.until) > backoffRetention })
--- a/internal/placement/rest_test.go
+++ b/internal/placement/rest_test.go
@@ -10,7 +10,7 @@
 // TestEngineBackoff checks how long an engine that asked for a backoff gets no requests, what
 // preserves and what ends the backoff, and that one trial request precedes further ones.
 func TestEngineBackoff(t *testing.T) {
-	const lasts = time.Second
+	const duration = time.Second
 	engine := placement.Engine{ID: "e", Pool: "p", Hall: "h", Slots: 8, Incarnation: 1}
 	r := placement.Request{Pool: "p"}
 	after := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
@@ -27,7 +27,7 @@
 		{"before it ends", func(*placement.Placement) {}, 990, false},
 		{"after it", func(*placement.Placement) {}, 1210, true},
 		{"a shorter backoff later", func(p *placement.Placement) { p.BackOff(after(100), "e", 100*time.Millisecond) }, 990, false},
-		{"a longer backoff", func(p *placement.Placement) { p.BackOff(after(100), "e", 2*lasts) }, 2090, false},
+		{"a longer backoff", func(p *placement.Placement) { p.BackOff(after(100), "e", 2*duration) }, 2090, false},
 		{"an empty backoff", func(p *placement.Placement) { p.BackOff(after(100), "e", 0) }, 1210, true},
 		{"its entry is removed and added again", func(p *placement.Placement) { p.Remove("e"); p.Set(engine) }, 990, false},
 		{"it restarts", func(p *placement.Placement) {
@@ -42,14 +42,14 @@
 		{"the trial request is accepted", func(p *placement.Placement) { send(p, after(1210)).Began(after(1220)) }, 1230, true},
 		{"the trial request is throttled", func(p *placement.Placement) {
 			c := send(p, after(1210))
-			p.BackOff(after(1220), "e", lasts)
+			p.BackOff(after(1220), "e", duration)
 			c.End(after(1220), placement.Throttled)
 		}, 2200, false},
 		{"the trial request is aborted", func(p *placement.Placement) { send(p, after(1210)).End(after(1220), placement.Aborted) }, 1230, true},
 	} {
 		p := placement.New("h")
 		p.Set(engine)
-		p.BackOff(start, "e", lasts)
+		p.BackOff(start, "e", duration)
 		test.does(p)
 		c, ok := p.Choose(after(test.at), r)
 		if ok != test.chosen {
--- a/internal/placement/start_test.go
+++ b/internal/placement/start_test.go
@@ -19,13 +19,13 @@
 // TestNodesThatStartTogetherSpreadTheirStreams checks that the streams of many nodes that have
 // just started do not exceed the slots of one engine.
 func TestNodesThatStartTogetherSpreadTheirStreams(t *testing.T) {
-	const nodes, each, places = 48, 2, 12
+	const nodes, each, slots = 48, 2, 12
 	at := map[string]int{}
 	most := 0
 	for node := range nodes {
 		p := placement.New("hall", placement.WithUnseenNodes(func(time.Time) int { return nodes - 1 }))
 		for i := range 112 {
-			p.Set(placement.Engine{ID: fmt.Sprintf("e%d", i), Pool: "p", Hall: "hall", Slots: places})
+			p.Set(placement.Engine{ID: fmt.Sprintf("e%d", i), Pool: "p", Hall: "hall", Slots: slots})
 		}
 		for i := range each {
 			r := stream(node*each + i)
@@ -35,7 +35,7 @@
 			most = max(most, at[c.Engine.ID])
 		}
 	}
-	if most > places {
-		t.Errorf("an engine has %d streams for %d slots", most, places)
+	if most > slots {
+		t.Errorf("an engine has %d streams for %d slots", most, slots)
 	}
 }
--- a/internal/scaling/scaling.go
+++ b/internal/scaling/scaling.go
@@ -14,44 +14,44 @@
 )
 
 const (
-	// busyMost is the share of an engine's time that prompts may take before streams beside them pause for too long, and
+	// targetUtilization is the share of an engine's time that prompts may take before streams beside them pause for too long, and
 	// busyShort what is borne for as long as engines that may be taken away can't be had.
-	busyMost  = 0.4
-	busyShort = 0.7
+	targetUtilization = 0.4
+	maxUtilization    = 0.7
 
-	// reserveOf divided by the price of an engine, against an ordinary one, is how many times the engines that the load
+	// reserveFactor divided by the price of an engine, against an ordinary one, is how many times the engines that the load
 	// needs are held, between reserveLeast and reserveMost.
-	reserveOf    = 0.45
-	reserveLeast = 1.3
-	reserveMost  = 3.0
+	reserveFactor = 0.45
+	minReserve    = 1.3
+	maxReserve    = 3.0
 
-	// cheapBelow is the price from which on engines that may be taken away aren't worth their loss.
-	cheapBelow = 0.8
+	// maxSpotPrice is the price from which on engines that may be taken away aren't worth their loss.
+	maxSpotPrice = 0.8
 
-	// stayingShare of what the load needs are ordinary engines at all times, and no less than can read the prompts of all
+	// minOnDemandShare of what the load needs are ordinary engines at all times, and no less than can read the prompts of all
 	// tiers but the lowest, reading all the time: what these need for some seconds if all others leave at once.
-	stayingShare = 0.03
+	minOnDemandShare = 0.03
 
-	// peakLife is how long the highest load counts, and shortLife for how long while engines can't be had.
-	peakLife  = time.Minute
-	shortLife = 4 * time.Second
+	// peakWindow is how long the highest load counts, and shortLife for how long while engines can't be had.
+	peakWindow  = time.Minute
+	shortWindow = 4 * time.Second
 
-	// firstFor is for how long the engines that are there have to be as many, until they count as what the operators began with.
-	firstFor = time.Second
+	// initialStableTime is for how long the engines that are there have to be as many, until they count as what the operators began with.
+	initialStableTime = time.Second
 
-	// refusedFor is how long none is ordered of a kind that could not be had, and settle how long after an order the
+	// refusalBackoff is how long none is ordered of a kind that could not be had, and settle how long after an order the
 	// engines seen are not expected to be as many as ordered, beyond their start.
-	refusedFor = 1500 * time.Millisecond
-	settle     = 3 * time.Second
+	refusalBackoff = 1500 * time.Millisecond
+	settleTime     = 3 * time.Second
 
-	// demandLeast is the least load that counts as one: tests of a few requests come also where no caller does.
-	demandLeast = 0.5
+	// minDemand is the least load that counts as one: tests of a few requests come also where no caller does.
+	minDemand = 0.5
 
-	// demandKnown is how long a new holder watches the load before it orders fewer ordinary engines.
-	demandKnown = 3 * time.Second
+	// demandWarmup is how long a new holder watches the load before it orders fewer ordinary engines.
+	demandWarmup = 3 * time.Second
 
-	// downEvery is the least time between two steps down of a kind in a hall.
-	downEvery = 2 * time.Second
+	// scaleDownInterval is the least time between two steps down of a kind in a hall.
+	scaleDownInterval = 2 * time.Second
 )
 
 type (
@@ -82,17 +82,17 @@
 
 	// Scaler decides for one pool. It is not safe for concurrent use.
 	Scaler struct {
-		pool  string
-		kinds map[kind]*ordered
-		peaks peaks // peaks are of all requests.
-		upper peaks // upper are of those above the lowest tier.
+		pool   string
+		states map[engineKind]*orderState
+		peaks  peaks // peaks are of all requests.
+		upper  peaks // upper are of those above the lowest tier.
 
-		first   int       // first is how many engines there were at first: what the operators began with.
-		firstAt time.Time // firstAt is since when they were as many.
-		begun   bool      // begun says that first holds.
-		since   time.Time // since is when this node began to decide.
+		initial      int       // first is how many engines there were at first: what the operators began with.
+		initialSince time.Time // firstAt is since when they were as many.
+		initialKnown bool      // begun says that first holds.
+		since        time.Time // since is when this node began to decide.
 
-		loadedAt time.Time // loadedAt is when a load was first seen.
+		firstLoadAt time.Time // loadedAt is when a load was first seen.
 	}
 
 	// Demand is reading that engines are given: how many would be busy all the time with it or, in a sum, milliseconds of one.
@@ -101,14 +101,14 @@
 		Upper float64 `json:"upper"` // Upper is of those for which the pool serves a lower tier, too.
 	}
 
-	// kind is one kind of engine in a hall.
-	kind struct {
+	// engineKind is one engineKind of engine in a hall.
+	engineKind struct {
 		hall string
 		spot bool
 	}
 
-	// ordered is what was asked for.
-	ordered struct {
+	// orderState is what was asked for.
+	orderState struct {
 		count   int
 		known   bool
 		at      time.Time // at is when it was ordered.
@@ -126,20 +126,20 @@
 )
 
 // New returns a scaler of a pool.
-func New(pool string) *Scaler { return &Scaler{pool: pool, kinds: map[kind]*ordered{}} }
+func New(pool string) *Scaler { return &Scaler{pool: pool, states: map[engineKind]*orderState{}} }
 
 // Note takes the load: how many engines would be busy all the time with the prompts that come.
 func (s *Scaler) Note(now time.Time, demand Demand) {
 	s.peaks.note(now, demand.All)
 	s.upper.note(now, demand.Upper)
-	if s.loadedAt.IsZero() && demand.All >= demandLeast {
-		s.loadedAt = now
+	if s.firstLoadAt.IsZero() && demand.All >= minDemand {
+		s.firstLoadAt = now
 	}
 }
 
 // note takes a load, and forgets those that don't count any more.
 func (p *peaks) note(now time.Time, demand float64) {
-	*p = slices.DeleteFunc(*p, func(old peak) bool { return now.Sub(old.at) > peakLife || old.demand <= demand })
+	*p = slices.DeleteFunc(*p, func(old peak) bool { return now.Sub(old.at) > peakWindow || old.demand <= demand })
 	*p = append(*p, peak{at: now, demand: demand})
 }
 
@@ -157,58 +157,58 @@
 // Need returns how many engines the highest load of late needs. Until a load was seen for long enough, it is no less
 // than what the operators began with.
 func (s *Scaler) Need(now time.Time) int {
-	need := int(math.Ceil(s.peaks.highest(now.Add(-peakLife)) / busyMost))
-	if s.loadedAt.IsZero() || now.Sub(s.loadedAt) < peakLife {
-		need = max(need, s.first)
+	need := int(math.Ceil(s.peaks.highest(now.Add(-peakWindow)) / targetUtilization))
+	if s.firstLoadAt.IsZero() || now.Sub(s.firstLoadAt) < peakWindow {
+		need = max(need, s.initial)
 	}
 	return need
 }
 
-// needOf returns what one of some halls has to hold of what is needed.
-func needOf(need, halls int) int { return (need + halls - 1) / halls }
+// needPerHall returns what one of some halls has to hold of what is needed.
+func needPerHall(need, halls int) int { return (need + halls - 1) / halls }
 
-// needShort returns how many engines get through the load of the newest seconds; until there was any, it is what the
+// shortTermNeed returns how many engines get through the load of the newest seconds; until there was any, it is what the
 // operators began with.
-func (s *Scaler) needShort(now time.Time) int {
-	if s.loadedAt.IsZero() {
-		return s.first
+func (s *Scaler) shortTermNeed(now time.Time) int {
+	if s.firstLoadAt.IsZero() {
+		return s.initial
 	}
-	return int(math.Ceil(s.peaks.highest(now.Add(-shortLife)) / busyShort))
+	return int(math.Ceil(s.peaks.highest(now.Add(-shortWindow)) / maxUtilization))
 }
 
-// begin settles what the operators began with, and reports whether that is known.
-func (s *Scaler) begin(now time.Time, halls map[string]Seen) bool {
-	n := present(halls)
-	if !s.begun && (n != s.first || s.firstAt.IsZero()) {
-		s.first, s.firstAt = n, now
+// learnInitial settles what the operators began with, and reports whether that is known.
+func (s *Scaler) learnInitial(now time.Time, halls map[string]Seen) bool {
+	n := countEngines(halls)
+	if !s.initialKnown && (n != s.initial || s.initialSince.IsZero()) {
+		s.initial, s.initialSince = n, now
 	}
-	s.begun = s.begun || n > 0 && now.Sub(s.firstAt) >= firstFor
-	return s.begun
+	s.initialKnown = s.initialKnown || n > 0 && now.Sub(s.initialSince) >= initialStableTime
+	return s.initialKnown
 }
 
 // Decide returns the orders that are due: at most one for each kind in a hall, and none that changes nothing.
 func (s *Scaler) Decide(now time.Time, limits Limits, halls map[string]Seen) []Order {
-	names := byPrice(limits, halls)
+	names := hallsByPrice(limits, halls)
 	if s.since.IsZero() {
 		s.since = now
 	}
-	if !s.begin(now, halls) {
+	if !s.learnInitial(now, halls) {
 		return nil
 	}
-	names = serving(names, halls)
+	names = excludeEvacuated(names, halls)
 	need := s.Need(now)
-	wanted := s.wanted(now, limits, names, halls, need)
-	least := needOf(s.needShort(now), len(names))
+	wanted := s.targets(now, limits, names, halls, need)
+	least := needPerHall(s.shortTermNeed(now), len(names))
 	var orders []Order
 	for _, hall := range names {
-		orders = append(orders, s.inHall(now, limits, hall, halls[hall], wanted[hall], least)...)
+		orders = append(orders, s.decideHall(now, limits, hall, halls[hall], wanted[hall], least)...)
 	}
 	return orders
 }
 
-// serving returns the halls that are not evacuated, which hold what the load needs meanwhile; all if there are none. An
+// excludeEvacuated returns the halls that are not evacuated, which hold what the load needs meanwhile; all if there are none. An
 // evacuated hall keeps its engines: it is taken back without notice, and new ones take seconds to start.
-func serving(names []string, halls map[string]Seen) []string {
+func excludeEvacuated(names []string, halls map[string]Seen) []string {
 	var out []string
 	for _, name := range names {
 		if !halls[name].Evacuated {
@@ -221,73 +221,73 @@
 	return out
 }
 
-// inHall returns the orders that are due in a hall, of which least engines must go on serving. What both kinds are
+// decideHall returns the orders that are due in a hall, of which least engines must go on serving. What both kinds are
 // ordered to be never passes the limit, so that what makes room comes first.
-func (s *Scaler) inHall(now time.Time, limits Limits, hall string, seen Seen, w target, least int) []Order {
-	staying, spot := s.kind(hall, false, seen.Staying), s.kind(hall, true, seen.Spot)
-	if w.staying < staying.count {
-		w.staying = min(staying.count, max(w.staying, least-seen.Spot)) // They leave once others serve in their place.
+func (s *Scaler) decideHall(now time.Time, limits Limits, hall string, seen Seen, w target, least int) []Order {
+	staying, spot := s.state(hall, false, seen.Staying), s.state(hall, true, seen.Spot)
+	if w.onDemand < staying.count {
+		w.onDemand = min(staying.count, max(w.onDemand, least-seen.Spot)) // They leave once others serve in their place.
 	}
-	changes := s.due(now, limits, staying, w.staying, seen.Staying) && (w.staying > staying.count || s.watched(now, demandKnown))
+	changes := s.due(now, limits, staying, w.onDemand, seen.Staying) && (w.onDemand > staying.count || s.observedFor(now, demandWarmup))
 	if !changes {
-		w.staying = staying.count
+		w.onDemand = staying.count
 	}
-	room := limits.Max - w.staying
+	room := limits.Max - w.onDemand
 	w.spot = min(w.spot, room)
 	var orders []Order
 	if spot.count > room { // Where none can be had, only as many as there are can be asked for.
 		orders = append(orders, Order{Pool: s.pool, Hall: hall, Spot: true, Count: min(room, seen.Spot)})
 	}
 	if changes {
-		orders = append(orders, Order{Pool: s.pool, Hall: hall, Count: w.staying})
+		orders = append(orders, Order{Pool: s.pool, Hall: hall, Count: w.onDemand})
 	}
-	more := w.spot >= spot.count || s.watched(now, peakLife)
-	if spot.count <= room && more && s.due(now, limits, spot, w.spot, seen.Spot) && now.Sub(spot.refused) >= refusedFor {
+	more := w.spot >= spot.count || s.observedFor(now, peakWindow)
+	if spot.count <= room && more && s.due(now, limits, spot, w.spot, seen.Spot) && now.Sub(spot.refused) >= refusalBackoff {
 		orders = append(orders, Order{Pool: s.pool, Hall: hall, Spot: true, Count: w.spot})
 	}
 	return orders
 }
 
-// watched reports whether the load has been watched for so long.
-func (s *Scaler) watched(now time.Time, d time.Duration) bool { return now.Sub(s.since) >= d }
+// observedFor reports whether the load has been observedFor for so long.
+func (s *Scaler) observedFor(now time.Time, d time.Duration) bool { return now.Sub(s.since) >= d }
 
 // target is what a hall should hold.
-type target struct{ staying, spot int }
+type target struct{ onDemand, spot int }
 
-// wanted returns what each hall should hold.
-func (s *Scaler) wanted(now time.Time, limits Limits, names []string, halls map[string]Seen, need int) map[string]target {
+// targets returns what each hall should hold.
+func (s *Scaler) targets(now time.Time, limits Limits, names []string, halls map[string]Seen, need int) map[string]target {
 	out := map[string]target{}
 	n := len(names)
 	price := 1.0
-	if limits.Spot < cheapBelow {
+	if limits.Spot < maxSpotPrice {
 		price = limits.Spot
 	}
-	total := float64(need) * min(max(reserveOf/price, reserveLeast), reserveMost)
+	total := float64(need) * min(max(reserveFactor/price, minReserve), maxReserve)
 	perHall := min(max(int(math.Ceil(total/float64(n))), limits.Min), limits.Max)
 	if price == 1 {
 		for _, hall := range names {
-			out[hall] = target{staying: perHall}
+			out[hall] = target{onDemand: perHall}
 		}
 		return out
 	}
-	always := max(stayingShare*float64(need), s.upper.highest(now.Add(-peakLife)))
+	always := max(minOnDemandShare*float64(need), s.upper.highest(now.Add(-peakWindow)))
 	staying := min(int(math.Ceil(always/float64(n))), perHall)
 	have := 0
 	for _, hall := range names {
-		t := target{staying: staying, spot: perHall - staying}
-		if spot := s.kinds[kind{hall, true}]; halls[hall].Leaving > 0 || spot != nil && !spot.refused.IsZero() && now.Sub(spot.refused) < 2*refusedFor {
-			have += t.staying + min(t.spot, halls[hall].Spot) // None can be had there now.
+		t := target{onDemand: staying, spot: perHall - staying}
+		if spot := s.states[engineKind{hall, true}]; halls[hall].Leaving > 0 || spot != nil && !spot.refused.IsZero() && now.Sub(spot.refused) < 2*refusalBackoff {
+			have += t.onDemand + min(t.spot, halls[hall].Spot) // None can be had there now.
 		} else {
-			have += t.staying + t.spot
+			have += t.onDemand + t.spot
 		}
 		out[hall] = t
 	}
-	for short := s.needShort(now) - have; short > 0; {
+	for short := s.shortTermNeed(now) - have; short > 0; {
 		before := short
 		for _, hall := range names {
 			t := out[hall]
-			if short > 0 && t.staying+halls[hall].Spot < limits.Max {
-				t.staying++
+			if short > 0 && t.onDemand+halls[hall].Spot < limits.Max {
+				t.onDemand++
 				short--
 				out[hall] = t
 			}
@@ -300,25 +300,25 @@
 }
 
 // due reports whether an order should go out.
-func (s *Scaler) due(now time.Time, limits Limits, o *ordered, want, seen int) bool {
+func (s *Scaler) due(now time.Time, limits Limits, o *orderState, want, seen int) bool {
 	switch {
 	case want == o.count:
-		return seen < want && now.Sub(o.at) > limits.Boot+settle // Some were lost, or taken away.
+		return seen < want && now.Sub(o.at) > limits.Boot+settleTime // Some were lost, or taken away.
 	case want > o.count:
 		return true
-	case now.Sub(o.at) < downEvery:
+	case now.Sub(o.at) < scaleDownInterval:
 		return false
 	}
-	return seen >= o.count || now.Sub(o.at) > limits.Boot+settle
+	return seen >= o.count || now.Sub(o.at) > limits.Boot+settleTime
 }
 
-// kind returns what was ordered of a kind; before the first order it is what is there.
-func (s *Scaler) kind(hall string, spot bool, seen int) *ordered {
-	k := kind{hall, spot}
-	o := s.kinds[k]
+// state returns what was ordered of a state; before the first order it is what is there.
+func (s *Scaler) state(hall string, spot bool, seen int) *orderState {
+	k := engineKind{hall, spot}
+	o := s.states[k]
 	if o == nil {
-		o = &ordered{}
-		s.kinds[k] = o
+		o = &orderState{}
+		s.states[k] = o
 	}
 	if !o.known {
 		o.count = seen
@@ -328,25 +328,25 @@
 
 // Restore takes what a holder before ordered: what there is now is not what the operators began with.
 func (s *Scaler) Restore(now time.Time, order Order) {
-	s.begun, s.first = true, 0
+	s.initialKnown, s.initial = true, 0
 	s.Ordered(now, order)
 }
 
 // Ordered says that an order was taken by the platform.
 func (s *Scaler) Ordered(now time.Time, order Order) {
-	o := s.kind(order.Hall, order.Spot, 0)
+	o := s.state(order.Hall, order.Spot, 0)
 	o.count, o.known, o.at, o.refused = order.Count, true, now, time.Time{}
 }
 
 // Refused says that none can be had of the kind at present.
 func (s *Scaler) Refused(now time.Time, order Order) {
-	s.kind(order.Hall, order.Spot, 0).refused = now
+	s.state(order.Hall, order.Spot, 0).refused = now
 }
 
 // All returns what was ordered last of each kind, always in one order.
 func (s *Scaler) All() []Order {
 	var out []Order
-	for k, o := range s.kinds {
+	for k, o := range s.states {
 		if o.known {
 			out = append(out, Order{Pool: s.pool, Hall: k.hall, Spot: k.spot, Count: o.count})
 		}
@@ -363,8 +363,8 @@
 	return out
 }
 
-// present returns how many engines there are.
-func present(halls map[string]Seen) int {
+// countEngines returns how many engines there are.
+func countEngines(halls map[string]Seen) int {
 	n := 0
 	for _, h := range halls {
 		n += h.Staying + h.Spot
@@ -372,8 +372,8 @@
 	return n
 }
 
-// byPrice returns the names of halls, the cheapest first.
-func byPrice(limits Limits, halls map[string]Seen) []string {
+// hallsByPrice returns the names of halls, the cheapest first.
+func hallsByPrice(limits Limits, halls map[string]Seen) []string {
 	names := make([]string, 0, len(halls))
 	for name := range halls {
 		names = append(names, name)
--- a/internal/scaling/scaling_test.go
+++ b/internal/scaling/scaling_test.go
@@ -17,61 +17,61 @@
 	return Limits{Min: 1, Max: 40, Boot: boot, Spot: spot, Prices: map[string]float64{"a": 0.85, "b": 1.2, "c": 1}}
 }
 
-// site is a platform that starts and takes away engines.
-type site struct {
-	t       *testing.T
-	s       *Scaler
-	limits  Limits
-	now     time.Time
-	load    float64 // load is how many engines are kept busy.
-	upper   float64 // upper is how many of these are by tiers above the lowest.
-	want    map[kind]int
-	have    map[kind]int
-	starts  map[kind][]time.Time
-	dry     time.Time // dry is until when no engine that may be taken away can be had.
-	orders  int
-	price   float64 // price is what was paid, in seconds of an ordinary engine.
-	leastOf int     // leastOf is the least number of engines that served at once since it was reset.
+// fakePlatform is a platform that starts and takes away engines.
+type fakePlatform struct {
+	t           *testing.T
+	s           *Scaler
+	limits      Limits
+	now         time.Time
+	load        float64 // load is how many engines are kept busy.
+	upper       float64 // upper is how many of these are by tiers above the lowest.
+	want        map[engineKind]int
+	have        map[engineKind]int
+	starts      map[engineKind][]time.Time
+	noSpotUntil time.Time // dry is until when no engine that may be taken away can be had.
+	orders      int
+	cost        float64 // price is what was paid, in seconds of an ordinary engine.
+	minServing  int     // leastOf is the least number of engines that served at once since it was reset.
 }
 
-// newSite returns a platform with some ordinary engines in each of three halls.
-func newSite(t *testing.T, l Limits, each int) *site {
-	x := &site{t: t, s: New("p"), limits: l, now: start, want: map[kind]int{}, have: map[kind]int{}, starts: map[kind][]time.Time{}, leastOf: 1 << 30}
+// newFakePlatform returns a platform with some ordinary engines in each of three halls.
+func newFakePlatform(t *testing.T, l Limits, each int) *fakePlatform {
+	x := &fakePlatform{t: t, s: New("p"), limits: l, now: start, want: map[engineKind]int{}, have: map[engineKind]int{}, starts: map[engineKind][]time.Time{}, minServing: 1 << 30}
 	for hall := range l.Prices {
-		x.want[kind{hall, false}], x.have[kind{hall, false}] = each, each
+		x.want[engineKind{hall, false}], x.have[engineKind{hall, false}] = each, each
 	}
 	return x
 }
 
 // seen returns what service discovery shows.
-func (x *site) seen() map[string]Seen {
+func (x *fakePlatform) seen() map[string]Seen {
 	out := map[string]Seen{}
 	for hall := range x.limits.Prices {
-		out[hall] = Seen{Staying: x.have[kind{hall, false}], Spot: x.have[kind{hall, true}]}
+		out[hall] = Seen{Staying: x.have[engineKind{hall, false}], Spot: x.have[engineKind{hall, true}]}
 	}
 	return out
 }
 
 // run lets some time pass.
-func (x *site) run(d time.Duration) {
+func (x *fakePlatform) run(d time.Duration) {
 	for end := x.now.Add(d); x.now.Before(end); x.now = x.now.Add(step) {
 		x.s.Note(x.now, Demand{All: x.load, Upper: x.upper})
 		for _, o := range x.s.Decide(x.now, x.limits, x.seen()) {
-			x.take(o)
+			x.apply(o)
 		}
-		x.pass()
+		x.advance()
 	}
 }
 
-// take takes an order.
-func (x *site) take(o Order) {
+// apply takes an order.
+func (x *fakePlatform) apply(o Order) {
 	x.orders++
-	k := kind{o.Hall, o.Spot}
-	if o.Spot && x.now.Before(x.dry) && o.Count > x.have[k] {
+	k := engineKind{o.Hall, o.Spot}
+	if o.Spot && x.now.Before(x.noSpotUntil) && o.Count > x.have[k] {
 		x.s.Refused(x.now, o)
 		return
 	}
-	other := x.want[kind{o.Hall, !o.Spot}]
+	other := x.want[engineKind{o.Hall, !o.Spot}]
 	if o.Count < 0 || o.Count+other > x.limits.Max {
 		x.t.Errorf("%v: order %+v beside %d of the other kind", x.now.Sub(start), o, other)
 	}
@@ -84,12 +84,12 @@
 	x.s.Ordered(x.now, o)
 }
 
-// pass starts engines and counts what they cost.
-func (x *site) pass() {
+// advance starts engines and counts what they cost.
+func (x *fakePlatform) advance() {
 	serving := 0
 	for hall, price := range x.limits.Prices {
 		for _, spot := range []bool{false, true} {
-			k := kind{hall, spot}
+			k := engineKind{hall, spot}
 			for len(x.starts[k]) > 0 && !x.now.Before(x.starts[k][0]) {
 				x.starts[k] = x.starts[k][1:]
 				x.have[k]++
@@ -98,20 +98,20 @@
 			if spot {
 				price *= x.limits.Spot
 			}
-			x.price += price * float64(x.have[k]) * step.Seconds()
+			x.cost += price * float64(x.have[k]) * step.Seconds()
 		}
 	}
-	x.leastOf = min(x.leastOf, serving)
+	x.minServing = min(x.minServing, serving)
 }
 
 // reclaim takes all engines of a hall away that may be, and none can be had for a while.
-func (x *site) reclaim(hall string, dry time.Duration) {
-	x.have[kind{hall, true}], x.starts[kind{hall, true}] = 0, nil
-	x.dry = x.now.Add(dry)
+func (x *fakePlatform) reclaim(hall string, dry time.Duration) {
+	x.have[engineKind{hall, true}], x.starts[engineKind{hall, true}] = 0, nil
+	x.noSpotUntil = x.now.Add(dry)
 }
 
 // serving returns how many engines serve.
-func (x *site) serving() int {
+func (x *fakePlatform) serving() int {
 	n := 0
 	for _, have := range x.have {
 		n += have
@@ -119,13 +119,13 @@
 	return n
 }
 
-// TestCheapEnginesReplaceOrdinaryOnes holds that where engines that may be taken away cost little, they take the place of ordinary
+// TestCheapSpotEnginesReplaceOnDemandOnes holds that where engines that may be taken away cost little, they take the place of ordinary
 // ones, that never fewer serve meanwhile than the operators began with, and that it then stays so.
-func TestCheapEnginesReplaceOrdinaryOnes(t *testing.T) {
-	x := newSite(t, limits(0.15, 4*time.Second), 20)
+func TestCheapSpotEnginesReplaceOnDemandOnes(t *testing.T) {
+	x := newFakePlatform(t, limits(0.15, 4*time.Second), 20)
 	x.run(20 * time.Second)
-	if x.leastOf < 60 {
-		t.Errorf("only %d engines served meanwhile, of 60 at first", x.leastOf)
+	if x.minServing < 60 {
+		t.Errorf("only %d engines served meanwhile, of 60 at first", x.minServing)
 	}
 	for hall, seen := range x.seen() {
 		if seen.Staying > 3 || seen.Staying+seen.Spot != 40 {
@@ -140,18 +140,18 @@
 	}
 }
 
-// TestLossOfAHallOrOfAll holds what serves once all engines that may be taken away have left one hall, or all halls, and
+// TestSpotLossInOneOrAllHalls holds what serves once all engines that may be taken away have left one hall, or all halls, and
 // none can be had for ten seconds: what the load needs, after the time in which ordinary ones start.
-func TestLossOfAHallOrOfAll(t *testing.T) {
+func TestSpotLossInOneOrAllHalls(t *testing.T) {
 	for _, lost := range []int{1, 3} {
-		x := newSite(t, limits(0.15, 4*time.Second), 20)
+		x := newFakePlatform(t, limits(0.15, 4*time.Second), 20)
 		x.load = 25
 		x.run(30 * time.Second)
 		for _, hall := range []string{"a", "b", "c"}[:lost] {
 			x.reclaim(hall, 10*time.Second)
 		}
 		x.run(6 * time.Second)
-		if need := int(x.load / busyShort); x.serving() < need {
+		if need := int(x.load / maxUtilization); x.serving() < need {
 			t.Errorf("%d halls: 6 s later %d engines serve, want %d", lost, x.serving(), need)
 		}
 		x.run(25 * time.Second)
@@ -163,11 +163,11 @@
 	}
 }
 
-// TestWhereTheyAreDear holds that where engines that may be taken away cost nearly as much, ordinary ones follow the load:
+// TestOnDemandFollowsLoadWhereSpotIsExpensive holds that where engines that may be taken away cost nearly as much, ordinary ones follow the load:
 // up at once, down not before a minute, and never by more orders than changes of the load.
-func TestWhereTheyAreDear(t *testing.T) {
+func TestOnDemandFollowsLoadWhereSpotIsExpensive(t *testing.T) {
 	for _, boot := range []time.Duration{4 * time.Second, 9 * time.Second} {
-		x := newSite(t, limits(0.9, boot), 20)
+		x := newFakePlatform(t, limits(0.9, boot), 20)
 		x.load = 10
 		x.run(30 * time.Second)
 		x.load = 30
@@ -209,7 +209,7 @@
 
 // TestOrdersOutliveTheHolder holds that a holder which knows what was ordered before does not order it again.
 func TestOrdersOutliveTheHolder(t *testing.T) {
-	x := newSite(t, limits(0.15, 4*time.Second), 20)
+	x := newFakePlatform(t, limits(0.15, 4*time.Second), 20)
 	x.load = 25
 	x.run(30 * time.Second)
 	next := New("p")
@@ -241,14 +241,14 @@
 	}
 }
 
-// TestOtherHallsHoldWhatAnEvacuatedOneDid holds that the halls which are not evacuated get engines for the whole load at once,
+// TestOtherHallsReplaceAnEvacuatedOne holds that the halls which are not evacuated get engines for the whole load at once,
 // that the evacuated one keeps its own, and that where all are evacuated nothing is ordered for it.
-func TestOtherHallsHoldWhatAnEvacuatedOneDid(t *testing.T) {
+func TestOtherHallsReplaceAnEvacuatedOne(t *testing.T) {
 	s := New("p")
 	halls := map[string]Seen{"a": {Staying: 12}, "b": {Staying: 12}, "c": {Staying: 12}}
 	now := start
 	decide := func() (orders []Order) {
-		for end := now.Add(2 * firstFor); now.Before(end); now = now.Add(step) {
+		for end := now.Add(2 * initialStableTime); now.Before(end); now = now.Add(step) {
 			s.Note(now, Demand{All: 10})
 			for _, o := range s.Decide(now, limits(1, 4*time.Second), halls) {
 				s.Ordered(now, o)
@@ -263,22 +263,22 @@
 	for _, o := range decide() {
 		count[o.Hall] = o.Count
 	}
-	want := int(math.Ceil(reserveLeast * 36 / 2))
+	want := int(math.Ceil(minReserve * 36 / 2))
 	if _, ordered := count["b"]; ordered || count["a"] != want || count["c"] != want {
 		t.Errorf("ordered %v after %v, want %d in a and in c each, and none changed in b", count, before, want)
 	}
 }
 
-// TestOrdinaryEnginesReadWhatIsAboveTheLowestTier holds that as many ordinary engines are there as read the prompts of all tiers
+// TestOnDemandEnginesCarryTiersAboveTheLowest holds that as many ordinary engines are there as read the prompts of all tiers
 // but the lowest, where all others are taken away at once, and no more of them than a small share where there is one tier.
-func TestOrdinaryEnginesReadWhatIsAboveTheLowestTier(t *testing.T) {
+func TestOnDemandEnginesCarryTiersAboveTheLowest(t *testing.T) {
 	for _, upper := range []float64{0, 6} {
-		x := newSite(t, limits(0.18, 4*time.Second), 10)
+		x := newFakePlatform(t, limits(0.18, 4*time.Second), 10)
 		x.load, x.upper = 20, upper
 		x.run(90 * time.Second)
 		staying := 0
 		for hall := range x.limits.Prices {
-			staying += x.have[kind{hall, false}]
+			staying += x.have[engineKind{hall, false}]
 		}
 		if least := upper; float64(staying) < least || float64(staying) > least+6 {
 			t.Errorf("%d ordinary engines, want %.0f or few more for what is above the lowest tier", staying, math.Ceil(least))
