--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -35,14 +35,14 @@
 
 // Request is what admission needs to know of a request.
 type Request struct {
-	Tier    int
-	Target  time.Duration // Target for the answer or the first event.
-	Timeout time.Duration // Timeout is the time that a first sending has.
-	Left    time.Duration // Left of the caller's time.
-	Wait    time.Duration // Wait is expected until the request's prompt is read.
+	Tier      int
+	Target    time.Duration // Target for the answer or the first event.
+	Timeout   time.Duration // Timeout is the time that a first sending has.
+	Remaining time.Duration // Left of the caller's time.
+	Wait      time.Duration // Wait is expected until the request's prompt is read.
 
-	// Most is the least limit of this request and of those that are more urgent, 0 where only its own counts.
-	Most time.Duration
+	// LimitCap is the least limit of this request and of those that are more urgent, 0 where only its own counts.
+	LimitCap time.Duration
 
 	// Pressure is the share of the pool's newest requests that were expected to wait long.
 	Pressure float64
@@ -70,10 +70,10 @@
 	if !bounded {
 		return 0, true
 	}
-	if r.Most > 0 {
-		limit = min(limit, r.Most)
+	if r.LimitCap > 0 {
+		limit = min(limit, r.LimitCap)
 	}
-	if r.Left < time.Duration(retryTimeShare*float64(r.Timeout)) {
+	if r.Remaining < time.Duration(retryTimeShare*float64(r.Timeout)) {
 		limit = time.Duration(retryWaitFactor * float64(limit))
 	}
 	if r.Wait <= limit {
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -13,7 +13,7 @@
 	for wait := time.Duration(0); wait < 10*time.Second; wait += 50 * time.Millisecond {
 		higher := true
 		for tier := range 5 {
-			_, ok := admission.Decide(admission.Request{Tier: tier, Target: time.Second, Timeout: 4 * time.Second, Left: 4 * time.Second, Wait: wait})
+			_, ok := admission.Decide(admission.Request{Tier: tier, Target: time.Second, Timeout: 4 * time.Second, Remaining: 4 * time.Second, Wait: wait})
 			if ok && !higher || tier == 0 && !ok {
 				t.Fatalf("wait %v: tier %d is taken: %v, the tier above: %v", wait, tier, ok, higher)
 			}
@@ -25,12 +25,12 @@
 // TestRetriesTolerateLongerWaits holds that a request which was refused once
 // is not refused again at the same wait, and that times to come back are bounded.
 func TestRetriesTolerateLongerWaits(t *testing.T) {
-	r := admission.Request{Tier: 2, Target: time.Second, Timeout: 4 * time.Second, Left: 4 * time.Second, Wait: 700 * time.Millisecond}
+	r := admission.Request{Tier: 2, Target: time.Second, Timeout: 4 * time.Second, Remaining: 4 * time.Second, Wait: 700 * time.Millisecond}
 	retryAfter, ok := admission.Decide(r)
 	if ok || retryAfter < 100*time.Millisecond || retryAfter > 1400*time.Millisecond {
 		t.Errorf("first: %v %v", retryAfter, ok)
 	}
-	r.Left = 3 * time.Second
+	r.Remaining = 3 * time.Second
 	if _, ok := admission.Decide(r); !ok {
 		t.Error("refused again at the same wait")
 	}
--- a/internal/admission/pressure.go
+++ b/internal/admission/pressure.go
@@ -26,9 +26,9 @@
 	at    time.Time
 }
 
-// Note takes the wait that is expected for a request with a target, and returns the
+// Observe takes the wait that is expected for a request with a target, and returns the
 // share of the newest requests whose wait was long, this one among them.
-func (p *Pressure) Note(now time.Time, wait, target time.Duration) float64 {
+func (p *Pressure) Observe(now time.Time, wait, target time.Duration) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	age := max(0, now.Sub(p.at).Seconds())
--- a/internal/admission/pressure_test.go
+++ b/internal/admission/pressure_test.go
@@ -15,7 +15,7 @@
 	note := func(n int, wait time.Duration) (share float64) {
 		for range n {
 			now = now.Add(20 * time.Millisecond)
-			share = p.Note(now, wait, time.Second)
+			share = p.Observe(now, wait, time.Second)
 		}
 		return share
 	}
@@ -36,7 +36,7 @@
 func TestToleratedWaitFallsUnderPressure(t *testing.T) {
 	for tier := 1; tier < 4; tier++ {
 		for wait := time.Duration(0); wait < 3*time.Second; wait += 50 * time.Millisecond {
-			r := admission.Request{Tier: tier, Target: time.Second, Timeout: 6 * time.Second, Left: 6 * time.Second, Wait: wait}
+			r := admission.Request{Tier: tier, Target: time.Second, Timeout: 6 * time.Second, Remaining: 6 * time.Second, Wait: wait}
 			_, calm := admission.Decide(r)
 			r.Pressure = 1
 			_, pressed := admission.Decide(r)
--- a/internal/dispatch/walk.go
+++ b/internal/dispatch/walk.go
@@ -202,11 +202,11 @@
 	wait := time.Duration(c.Wait * float64(time.Millisecond))
 	l := w.d.lines.of(now, w.pool)
 	r := admission.Request{
-		Tier: w.tier(), Target: w.route.Target, Timeout: w.route.Timeout, Left: w.deadline.Sub(now), Wait: wait,
-		Pressure: l.pressure.Note(now, wait, w.route.Target),
+		Tier: w.tier(), Target: w.route.Target, Timeout: w.route.Timeout, Remaining: w.deadline.Sub(now), Wait: wait,
+		Pressure: l.pressure.Observe(now, wait, w.route.Target),
 	}
 	if limit, bounded := r.Limit(); bounded {
-		r.Most = l.bears(routing.Urgency(w.route, w.team), limit)
+		r.LimitCap = l.bears(routing.Urgency(w.route, w.team), limit)
 	}
 	return admission.Decide(r)
 }
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -118,7 +118,7 @@
 	Pool struct {
 		Name   string
 		Limits scaling.Limits
-		Halls  map[string]scaling.Seen
+		Halls  map[string]scaling.HallState
 	}
 
 	// Settings are what the operators set.
--- a/internal/duty/hold.go
+++ b/internal/duty/hold.go
@@ -28,7 +28,7 @@
 			continue
 		}
 		backoff.Reset()
-		pause.Woken(ctx, wait, d.wake)
+		pause.ForOrWake(ctx, wait, d.wake)
 	}
 }
 
@@ -245,7 +245,7 @@
 	defer d.mu.Unlock()
 	var all []scaling.Order
 	for _, pool := range slices.Sorted(maps.Keys(d.scalers)) { // In one order, so that the row changes with the orders alone.
-		all = append(all, d.scalers[pool].All()...)
+		all = append(all, d.scalers[pool].Orders()...)
 	}
 	if text, err := json.Marshal(all); err == nil && len(all) > 0 && string(text) != d.orders {
 		rows = append(rows, feed.Row{Key: keyOrders, Value: text})
--- a/internal/duty/orders.go
+++ b/internal/duty/orders.go
@@ -91,7 +91,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	s := d.scaler(p.Name)
-	s.Note(now, d.demand.of(now, p.Name))
+	s.ObserveLoad(now, d.demand.of(now, p.Name))
 	return s.Decide(now, p.Limits, p.Halls)
 }
 
@@ -109,9 +109,9 @@
 	need := s.Need(now)
 	switch {
 	case err == nil:
-		s.Ordered(now, o)
+		s.OrderAccepted(now, o)
 	case errors.Is(err, ErrNone), errors.Is(err, ErrRefused):
-		s.Refused(now, o)
+		s.OrderRefused(now, o)
 	}
 	d.mu.Unlock()
 	if err == nil {
--- a/internal/duty/shown.go
+++ b/internal/duty/shown.go
@@ -24,7 +24,7 @@
 	defer d.mu.Unlock()
 	out.Before = d.lease.Record().Recent
 	for pool, s := range d.scalers {
-		out.Orders = append(out.Orders, s.All()...)
+		out.Orders = append(out.Orders, s.Orders()...)
 		out.Need[pool] = s.Need(now)
 	}
 	return out
--- a/internal/edge/duties.go
+++ b/internal/edge/duties.go
@@ -74,9 +74,9 @@
 			continue
 		}
 		halls := n.e.placement.HallEngines(p.Name)
-		for hall := range p.Scaling.Prices {
+		for hall := range p.Scaling.HallPrices {
 			if _, ok := halls[hall]; !ok {
-				halls[hall] = scaling.Seen{} // One without engines can get some.
+				halls[hall] = scaling.HallState{} // One without engines can get some.
 			}
 		}
 		out = append(out, duty.Pool{Name: p.Name, Limits: *p.Scaling, Halls: halls})
--- a/internal/feed/follower.go
+++ b/internal/feed/follower.go
@@ -167,7 +167,7 @@
 	switch {
 	case errors.As(err, &busy):
 		f.addSources(t, busy.version, append(busy.others, address))
-		pause.Spread(f.ctx, busyPause)
+		pause.Jittered(f.ctx, busyPause)
 	case err != nil && f.ctx.Err() == nil:
 		f.failed.Add(1)
 		f.log.Warn("table not taken from peer", "table", t.Name(), "peer_address", address, "ms", clock.Since(begin).Milliseconds(), "error", err.Error())
--- a/internal/feed/reader.go
+++ b/internal/feed/reader.go
@@ -51,7 +51,7 @@
 	var backoff pause.Backoff
 	for ctx.Err() == nil {
 		if !r.wanted(clock.Now()) {
-			pause.Woken(ctx, idlePoll, r.Wake)
+			pause.ForOrWake(ctx, idlePoll, r.Wake)
 			continue
 		}
 		err := r.once(ctx)
--- a/internal/pause/backoff.go
+++ b/internal/pause/backoff.go
@@ -21,7 +21,7 @@
 func (b *Backoff) Reset() { b.next = 0 }
 
 // Wait pauses after a failure.
-func (b *Backoff) Wait(ctx context.Context) { Spread(ctx, b.step()) }
+func (b *Backoff) Wait(ctx context.Context) { Jittered(ctx, b.step()) }
 
 // step returns the usual length of the present pause and doubles the next.
 func (b *Backoff) step() time.Duration {
@@ -30,6 +30,6 @@
 	return d
 }
 
-// Spread pauses for a duration drawn by chance between half of it and half as long
+// Jittered pauses for a duration drawn by chance between half of it and half as long
 // again, so that nodes which start together do not call together.
-func Spread(ctx context.Context, mean time.Duration) { For(ctx, mean/2+rand.N(mean)) }
+func Jittered(ctx context.Context, mean time.Duration) { For(ctx, mean/2+rand.N(mean)) }
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// Woken waits for a duration, which the end of a context and a wake-up cut short. A nil channel never wakes.
-func Woken(ctx context.Context, d time.Duration, wake <-chan struct{}) {
+// ForOrWake waits for a duration, which the end of a context and a wake-up cut short. A nil channel never wakes.
+func ForOrWake(ctx context.Context, d time.Duration, wake <-chan struct{}) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/internal/placement/present.go
+++ b/internal/placement/present.go
@@ -7,10 +7,10 @@
 )
 
 // HallEngines counts a pool's engines by hall.
-func (p *Placement) HallEngines(pool string) map[string]scaling.Seen {
+func (p *Placement) HallEngines(pool string) map[string]scaling.HallState {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	out := map[string]scaling.Seen{}
+	out := map[string]scaling.HallState{}
 	for _, e := range p.engines {
 		if e.Pool != pool {
 			continue
@@ -18,11 +18,11 @@
 		h := out[e.Hall]
 		switch {
 		case e.Spot && e.Draining:
-			h.Leaving++
+			h.SpotDraining++
 		case e.Spot:
 			h.Spot++
 		case !e.Draining:
-			h.Staying++
+			h.OnDemand++
 		}
 		out[e.Hall] = h
 	}
--- a/internal/placement/present_test.go
+++ b/internal/placement/present_test.go
@@ -19,10 +19,10 @@
 		p.Set(e)
 	}
 	got := p.HallEngines("p")
-	if want := (scaling.Seen{Staying: 1, Spot: 1}); got["a"] != want {
+	if want := (scaling.HallState{OnDemand: 1, Spot: 1}); got["a"] != want {
 		t.Errorf("hall a: %+v, want %+v", got["a"], want)
 	}
-	if want := (scaling.Seen{Staying: 1, Leaving: 1}); got["b"] != want {
+	if want := (scaling.HallState{OnDemand: 1, SpotDraining: 1}); got["b"] != want {
 		t.Errorf("hall b: %+v, want %+v", got["b"], want)
 	}
 	r := placement.Request{Pool: "p", Prompt: placement.Prompt{Tokens: 5000}}
--- a/internal/scaling/scaling.go
+++ b/internal/scaling/scaling.go
@@ -57,17 +57,17 @@
 type (
 	// Limits are what the operators set for a pool.
 	Limits struct {
-		Min, Max int           // Min and Max bound the engines of a hall, of both kinds.
-		Boot     time.Duration // Boot is how long an engine takes until it serves.
-		Spot     float64       // Spot is the price of an engine that may be taken away, against that of an ordinary one.
-		Prices   map[string]float64
+		Min, Max   int           // Min and Max bound the engines of a hall, of both kinds.
+		BootTime   time.Duration // Boot is how long an engine takes until it serves.
+		SpotPrice  float64       // Spot is the price of an engine that may be taken away, against that of an ordinary one.
+		HallPrices map[string]float64
 	}
 
-	// Seen is what a hall has of a pool.
-	Seen struct {
-		Staying int // Staying counts ordinary engines that serve and do not leave.
-		Spot    int // Spot counts those that may be taken away, serve and do not leave.
-		Leaving int // Leaving counts those that may be taken away and leave.
+	// HallState is what a hall has of a pool.
+	HallState struct {
+		OnDemand     int // Staying counts ordinary engines that serve and do not leave.
+		Spot         int // Spot counts those that may be taken away, serve and do not leave.
+		SpotDraining int // Leaving counts those that may be taken away and leave.
 
 		Evacuated bool // Evacuated says that engines there get no new requests.
 	}
@@ -128,8 +128,8 @@
 // New returns a scaler of a pool.
 func New(pool string) *Scaler { return &Scaler{pool: pool, states: map[engineKind]*orderState{}} }
 
-// Note takes the load: how many engines would be busy all the time with the prompts that come.
-func (s *Scaler) Note(now time.Time, demand Demand) {
+// ObserveLoad takes the load: how many engines would be busy all the time with the prompts that come.
+func (s *Scaler) ObserveLoad(now time.Time, demand Demand) {
 	s.peaks.note(now, demand.All)
 	s.upper.note(now, demand.Upper)
 	if s.firstLoadAt.IsZero() && demand.All >= minDemand {
@@ -177,7 +177,7 @@
 }
 
 // learnInitial settles what the operators began with, and reports whether that is known.
-func (s *Scaler) learnInitial(now time.Time, halls map[string]Seen) bool {
+func (s *Scaler) learnInitial(now time.Time, halls map[string]HallState) bool {
 	n := countEngines(halls)
 	if !s.initialKnown && (n != s.initial || s.initialSince.IsZero()) {
 		s.initial, s.initialSince = n, now
@@ -187,7 +187,7 @@
 }
 
 // Decide returns the orders that are due: at most one for each kind in a hall, and none that changes nothing.
-func (s *Scaler) Decide(now time.Time, limits Limits, halls map[string]Seen) []Order {
+func (s *Scaler) Decide(now time.Time, limits Limits, halls map[string]HallState) []Order {
 	names := hallsByPrice(limits, halls)
 	if s.since.IsZero() {
 		s.since = now
@@ -208,7 +208,7 @@
 
 // excludeEvacuated returns the halls that are not evacuated, which hold what the load needs meanwhile; all if there are none. An
 // evacuated hall keeps its engines: it is taken back without notice, and new ones take seconds to start.
-func excludeEvacuated(names []string, halls map[string]Seen) []string {
+func excludeEvacuated(names []string, halls map[string]HallState) []string {
 	var out []string
 	for _, name := range names {
 		if !halls[name].Evacuated {
@@ -223,12 +223,12 @@
 
 // decideHall returns the orders that are due in a hall, of which least engines must go on serving. What both kinds are
 // ordered to be never passes the limit, so that what makes room comes first.
-func (s *Scaler) decideHall(now time.Time, limits Limits, hall string, seen Seen, w target, least int) []Order {
-	staying, spot := s.state(hall, false, seen.Staying), s.state(hall, true, seen.Spot)
+func (s *Scaler) decideHall(now time.Time, limits Limits, hall string, seen HallState, w target, least int) []Order {
+	staying, spot := s.state(hall, false, seen.OnDemand), s.state(hall, true, seen.Spot)
 	if w.onDemand < staying.count {
 		w.onDemand = min(staying.count, max(w.onDemand, least-seen.Spot)) // They leave once others serve in their place.
 	}
-	changes := s.due(now, limits, staying, w.onDemand, seen.Staying) && (w.onDemand > staying.count || s.observedFor(now, demandWarmup))
+	changes := s.due(now, limits, staying, w.onDemand, seen.OnDemand) && (w.onDemand > staying.count || s.observedFor(now, demandWarmup))
 	if !changes {
 		w.onDemand = staying.count
 	}
@@ -255,12 +255,12 @@
 type target struct{ onDemand, spot int }
 
 // targets returns what each hall should hold.
-func (s *Scaler) targets(now time.Time, limits Limits, names []string, halls map[string]Seen, need int) map[string]target {
+func (s *Scaler) targets(now time.Time, limits Limits, names []string, halls map[string]HallState, need int) map[string]target {
 	out := map[string]target{}
 	n := len(names)
 	price := 1.0
-	if limits.Spot < maxSpotPrice {
-		price = limits.Spot
+	if limits.SpotPrice < maxSpotPrice {
+		price = limits.SpotPrice
 	}
 	total := float64(need) * min(max(reserveFactor/price, minReserve), maxReserve)
 	perHall := min(max(int(math.Ceil(total/float64(n))), limits.Min), limits.Max)
@@ -275,7 +275,7 @@
 	have := 0
 	for _, hall := range names {
 		t := target{onDemand: staying, spot: perHall - staying}
-		if spot := s.states[engineKind{hall, true}]; halls[hall].Leaving > 0 || spot != nil && !spot.refused.IsZero() && now.Sub(spot.refused) < 2*refusalBackoff {
+		if spot := s.states[engineKind{hall, true}]; halls[hall].SpotDraining > 0 || spot != nil && !spot.refused.IsZero() && now.Sub(spot.refused) < 2*refusalBackoff {
 			have += t.onDemand + min(t.spot, halls[hall].Spot) // None can be had there now.
 		} else {
 			have += t.onDemand + t.spot
@@ -303,13 +303,13 @@
 func (s *Scaler) due(now time.Time, limits Limits, o *orderState, want, seen int) bool {
 	switch {
 	case want == o.count:
-		return seen < want && now.Sub(o.at) > limits.Boot+settleTime // Some were lost, or taken away.
+		return seen < want && now.Sub(o.at) > limits.BootTime+settleTime // Some were lost, or taken away.
 	case want > o.count:
 		return true
 	case now.Sub(o.at) < scaleDownInterval:
 		return false
 	}
-	return seen >= o.count || now.Sub(o.at) > limits.Boot+settleTime
+	return seen >= o.count || now.Sub(o.at) > limits.BootTime+settleTime
 }
 
 // state returns what was ordered of a state; before the first order it is what is there.
@@ -329,22 +329,22 @@
 // Restore takes what a holder before ordered: what there is now is not what the operators began with.
 func (s *Scaler) Restore(now time.Time, order Order) {
 	s.initialKnown, s.initial = true, 0
-	s.Ordered(now, order)
+	s.OrderAccepted(now, order)
 }
 
-// Ordered says that an order was taken by the platform.
-func (s *Scaler) Ordered(now time.Time, order Order) {
+// OrderAccepted says that an order was taken by the platform.
+func (s *Scaler) OrderAccepted(now time.Time, order Order) {
 	o := s.state(order.Hall, order.Spot, 0)
 	o.count, o.known, o.at, o.refused = order.Count, true, now, time.Time{}
 }
 
-// Refused says that none can be had of the kind at present.
-func (s *Scaler) Refused(now time.Time, order Order) {
+// OrderRefused says that none can be had of the kind at present.
+func (s *Scaler) OrderRefused(now time.Time, order Order) {
 	s.state(order.Hall, order.Spot, 0).refused = now
 }
 
-// All returns what was ordered last of each kind, always in one order.
-func (s *Scaler) All() []Order {
+// Orders returns what was ordered last of each kind, always in one order.
+func (s *Scaler) Orders() []Order {
 	var out []Order
 	for k, o := range s.states {
 		if o.known {
@@ -364,22 +364,22 @@
 }
 
 // countEngines returns how many engines there are.
-func countEngines(halls map[string]Seen) int {
+func countEngines(halls map[string]HallState) int {
 	n := 0
 	for _, h := range halls {
-		n += h.Staying + h.Spot
+		n += h.OnDemand + h.Spot
 	}
 	return n
 }
 
 // hallsByPrice returns the names of halls, the cheapest first.
-func hallsByPrice(limits Limits, halls map[string]Seen) []string {
+func hallsByPrice(limits Limits, halls map[string]HallState) []string {
 	names := make([]string, 0, len(halls))
 	for name := range halls {
 		names = append(names, name)
 	}
 	slices.SortFunc(names, func(a, b string) int {
-		return cmp.Or(cmp.Compare(limits.Prices[a], limits.Prices[b]), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(limits.HallPrices[a], limits.HallPrices[b]), cmp.Compare(a, b))
 	})
 	return names
 }
--- a/internal/scaling/scaling_test.go
+++ b/internal/scaling/scaling_test.go
@@ -14,7 +14,7 @@
 
 // limits are those of a pool with three halls, where engines that may be taken away have a price.
 func limits(spot float64, boot time.Duration) Limits {
-	return Limits{Min: 1, Max: 40, Boot: boot, Spot: spot, Prices: map[string]float64{"a": 0.85, "b": 1.2, "c": 1}}
+	return Limits{Min: 1, Max: 40, BootTime: boot, SpotPrice: spot, HallPrices: map[string]float64{"a": 0.85, "b": 1.2, "c": 1}}
 }
 
 // fakePlatform is a platform that starts and takes away engines.
@@ -37,17 +37,17 @@
 // newFakePlatform returns a platform with some ordinary engines in each of three halls.
 func newFakePlatform(t *testing.T, l Limits, each int) *fakePlatform {
 	x := &fakePlatform{t: t, s: New("p"), limits: l, now: start, want: map[engineKind]int{}, have: map[engineKind]int{}, starts: map[engineKind][]time.Time{}, minServing: 1 << 30}
-	for hall := range l.Prices {
+	for hall := range l.HallPrices {
 		x.want[engineKind{hall, false}], x.have[engineKind{hall, false}] = each, each
 	}
 	return x
 }
 
 // seen returns what service discovery shows.
-func (x *fakePlatform) seen() map[string]Seen {
-	out := map[string]Seen{}
-	for hall := range x.limits.Prices {
-		out[hall] = Seen{Staying: x.have[engineKind{hall, false}], Spot: x.have[engineKind{hall, true}]}
+func (x *fakePlatform) seen() map[string]HallState {
+	out := map[string]HallState{}
+	for hall := range x.limits.HallPrices {
+		out[hall] = HallState{OnDemand: x.have[engineKind{hall, false}], Spot: x.have[engineKind{hall, true}]}
 	}
 	return out
 }
@@ -55,7 +55,7 @@
 // run lets some time pass.
 func (x *fakePlatform) run(d time.Duration) {
 	for end := x.now.Add(d); x.now.Before(end); x.now = x.now.Add(step) {
-		x.s.Note(x.now, Demand{All: x.load, Upper: x.upper})
+		x.s.ObserveLoad(x.now, Demand{All: x.load, Upper: x.upper})
 		for _, o := range x.s.Decide(x.now, x.limits, x.seen()) {
 			x.apply(o)
 		}
@@ -68,7 +68,7 @@
 	x.orders++
 	k := engineKind{o.Hall, o.Spot}
 	if o.Spot && x.now.Before(x.noSpotUntil) && o.Count > x.have[k] {
-		x.s.Refused(x.now, o)
+		x.s.OrderRefused(x.now, o)
 		return
 	}
 	other := x.want[engineKind{o.Hall, !o.Spot}]
@@ -79,15 +79,15 @@
 	x.have[k] = min(x.have[k], o.Count)
 	x.starts[k] = nil
 	for range o.Count - x.have[k] {
-		x.starts[k] = append(x.starts[k], x.now.Add(x.limits.Boot))
+		x.starts[k] = append(x.starts[k], x.now.Add(x.limits.BootTime))
 	}
-	x.s.Ordered(x.now, o)
+	x.s.OrderAccepted(x.now, o)
 }
 
 // advance starts engines and counts what they cost.
 func (x *fakePlatform) advance() {
 	serving := 0
-	for hall, price := range x.limits.Prices {
+	for hall, price := range x.limits.HallPrices {
 		for _, spot := range []bool{false, true} {
 			k := engineKind{hall, spot}
 			for len(x.starts[k]) > 0 && !x.now.Before(x.starts[k][0]) {
@@ -96,7 +96,7 @@
 			}
 			serving += x.have[k]
 			if spot {
-				price *= x.limits.Spot
+				price *= x.limits.SpotPrice
 			}
 			x.cost += price * float64(x.have[k]) * step.Seconds()
 		}
@@ -128,7 +128,7 @@
 		t.Errorf("only %d engines served meanwhile, of 60 at first", x.minServing)
 	}
 	for hall, seen := range x.seen() {
-		if seen.Staying > 3 || seen.Staying+seen.Spot != 40 {
+		if seen.OnDemand > 3 || seen.OnDemand+seen.Spot != 40 {
 			t.Errorf("hall %s: %+v, want 40 and few ordinary ones", hall, seen)
 		}
 	}
@@ -156,7 +156,7 @@
 		}
 		x.run(25 * time.Second)
 		for hall, seen := range x.seen() {
-			if seen.Staying > 3 || seen.Spot < 35 {
+			if seen.OnDemand > 3 || seen.Spot < 35 {
 				t.Errorf("%d halls: 30 s later hall %s has %+v", lost, hall, seen)
 			}
 		}
@@ -201,7 +201,7 @@
 	l := limits(0.15, 4*time.Second)
 	for i := range 40 {
 		now := start.Add(time.Duration(i) * step)
-		if got := s.Decide(now, l, map[string]Seen{"a": {}, "b": {}, "c": {}}); len(got) > 0 {
+		if got := s.Decide(now, l, map[string]HallState{"a": {}, "b": {}, "c": {}}); len(got) > 0 {
 			t.Fatalf("ordered %+v with no engine known", got)
 		}
 	}
@@ -213,7 +213,7 @@
 	x.load = 25
 	x.run(30 * time.Second)
 	next := New("p")
-	for _, o := range x.s.All() {
+	for _, o := range x.s.Orders() {
 		next.Restore(x.now, o)
 	}
 	before := fmt.Sprint(x.want)
@@ -230,12 +230,12 @@
 	s := New("p")
 	for _, hall := range []string{"b", "a"} {
 		for _, spot := range []bool{true, false} {
-			s.Ordered(start, Order{Pool: "p", Hall: hall, Spot: spot, Count: 20})
+			s.OrderAccepted(start, Order{Pool: "p", Hall: hall, Spot: spot, Count: 20})
 		}
 	}
-	first := fmt.Sprint(s.All())
+	first := fmt.Sprint(s.Orders())
 	for range 50 {
-		if got := fmt.Sprint(s.All()); got != first {
+		if got := fmt.Sprint(s.Orders()); got != first {
 			t.Fatalf("first %s, then %s", first, got)
 		}
 	}
@@ -245,20 +245,20 @@
 // that the evacuated one keeps its own, and that where all are evacuated nothing is ordered for it.
 func TestOtherHallsReplaceAnEvacuatedOne(t *testing.T) {
 	s := New("p")
-	halls := map[string]Seen{"a": {Staying: 12}, "b": {Staying: 12}, "c": {Staying: 12}}
+	halls := map[string]HallState{"a": {OnDemand: 12}, "b": {OnDemand: 12}, "c": {OnDemand: 12}}
 	now := start
 	decide := func() (orders []Order) {
 		for end := now.Add(2 * initialStableTime); now.Before(end); now = now.Add(step) {
-			s.Note(now, Demand{All: 10})
+			s.ObserveLoad(now, Demand{All: 10})
 			for _, o := range s.Decide(now, limits(1, 4*time.Second), halls) {
-				s.Ordered(now, o)
+				s.OrderAccepted(now, o)
 				orders = append(orders, o)
 			}
 		}
 		return orders
 	}
 	before := decide()
-	halls["b"] = Seen{Staying: 12, Evacuated: true}
+	halls["b"] = HallState{OnDemand: 12, Evacuated: true}
 	count := map[string]int{}
 	for _, o := range decide() {
 		count[o.Hall] = o.Count
@@ -277,7 +277,7 @@
 		x.load, x.upper = 20, upper
 		x.run(90 * time.Second)
 		staying := 0
-		for hall := range x.limits.Prices {
+		for hall := range x.limits.HallPrices {
 			staying += x.have[engineKind{hall, false}]
 		}
 		if least := upper; float64(staying) < least || float64(staying) > least+6 {
