--- a/internal/admission/pressure.go
+++ b/internal/admission/pressure.go
@@ -10,24 +10,23 @@
 	// longWaitShare is the share of a target from which an expected wait counts as long.
 	longWaitShare = 0.7
 
-	// pressureHalfLife is the time in which the newest request's wait counts half: a pool
-	// falls behind, and catches up, within a few prompts.
+	// pressureHalfLife is the half-life of a request's weight: a pool falls behind, and catches
+	// up, within a few prompts.
 	pressureHalfLife = 300 * time.Millisecond
 
-	// pressureStep is the most that one request counts, where they are rare.
+	// pressureStep is the maximum weight of one request, reached when requests are rare.
 	pressureStep = 0.5
 )
 
-// Pressure follows which share of a pool's newest requests was expected to wait long. The
-// zero value is ready for use; its methods may be called from many goroutines.
+// Pressure tracks the share of a pool's newest requests with a long expected wait. The zero
+// value is ready for use. It is safe for concurrent use.
 type Pressure struct {
 	mu    sync.Mutex
 	share float64
 	at    time.Time
 }
 
-// Observe takes the wait that is expected for a request with a target, and returns the
-// share of the newest requests whose wait was long, this one among them.
+// Observe records the expected wait of a request with a target and returns the updated share.
 func (p *Pressure) Observe(now time.Time, wait, target time.Duration) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -1,8 +1,8 @@
-// Package order gives engines their orders, such as to load a model or to
-// change role. Each order carries a fence: the version of the configuration that
-// made it, which the platform handed out. An engine that checks fences refuses an
-// old one itself. To an engine that does not, a node sends only what it has just
-// proved current at the platform, one sender at a time.
+// Package order sends orders to engines, such as to load a model or to change role. Each order
+// carries a fencing token: the version of the configuration that created it, which the platform
+// assigned. An engine that checks fences rejects an old order itself. To any other engine a node
+// sends only an order that it has just verified as current at the platform, one sender at a
+// time.
 package order
 
 import (
@@ -23,40 +23,40 @@
 const (
 	rowPrefix = "order/"
 
-	// sendTimeout is how long after it began to prove an order current a node may
-	// still send it, on its own monotonic clock.
+	// sendTimeout is how long after the start of verification a node may send an order, by its
+	// own monotonic clock.
 	sendTimeout = time.Second
 
-	// takeOverAfter is how long a node watches another's unfinished sending before
-	// it takes over. It is longer than sendWithin, so that the other's time is up.
+	// takeOverAfter is how long a node watches another's unfinished send before it takes over.
+	// It exceeds sendTimeout, so that the other node may no longer send.
 	takeOverAfter = 3 * sendTimeout
 
-	// pollInterval is how often orders that are still to be sent are looked at.
+	// pollInterval is how often pending orders are checked.
 	pollInterval = 250 * time.Millisecond
 )
 
-// ErrNotCurrent says that an order could not be proved current; it was not sent.
-var ErrNotCurrent = errors.New("order: not proved current")
+// ErrNotCurrent means that an order could not be verified as current and was not sent.
+var ErrNotCurrent = errors.New("order: not verified as current")
 
 type (
-	// Table is what orders need of the platform.
+	// Table is the part of the platform's store that orders need.
 	Table interface {
 		Get(ctx context.Context, key string) (kv.Row, error)
 		Transact(ctx context.Context, txn kv.Txn) error
 	}
 
-	// Sender sends an order to an engine. It sends nothing after the deadline. The
-	// error is an *OldFenceError where the engine knows a newer one.
+	// Sender sends an order to an engine, but not after the deadline. It returns an
+	// *OldFenceError if the engine has seen a newer fence.
 	Sender interface {
 		Order(ctx context.Context, address string, fence int, text string, deadline time.Time) error
 	}
 
-	// Brokers tells whether this node is a pool's broker, which sends its orders.
+	// Brokers reports whether this node is the broker of a pool and therefore sends its orders.
 	Brokers interface {
 		Owns(pool string) bool
 	}
 
-	// Service sends the orders of the engines whose pools this node is broker of.
+	// Service sends the orders for engines of the pools that this node is broker of.
 	Service struct {
 		store   *config.Store
 		table   Table
@@ -67,26 +67,26 @@
 		wg      sync.WaitGroup
 
 		mu        sync.Mutex
-		delivered map[string]int // sent is the newest fence that each engine has.
+		delivered map[string]int // newest fence that each engine has received
 		busy      map[string]bool
 		observed  map[string]observation
 	}
 
-	// sendRecord is the row of an engine that does not check fences.
+	// sendRecord is the stored row for an engine that does not check fences.
 	sendRecord struct {
 		Fence int    `json:"fence"`
 		Node  string `json:"node"`
 		Done  bool   `json:"done"`
 	}
 
-	// observation is when this node first saw a row at a version.
+	// observation is when this node first saw a version of a row.
 	observation struct {
 		version int
 		at      time.Time
 	}
 )
 
-// New returns a service that has sent nothing.
+// New returns a service that has sent nothing yet.
 func New(store *config.Store, table Table, sender Sender, brokers Brokers, node string, log *slog.Logger) *Service {
 	return &Service{
 		store: store, table: table, sender: sender, brokers: brokers, node: node, log: log,
@@ -94,7 +94,7 @@
 	}
 }
 
-// Run sends orders until the context ends, and waits for those on their way.
+// Run sends orders until the context ends, then waits for sends in progress.
 func (s *Service) Run(ctx context.Context) {
 	defer s.wg.Wait()
 	tick := time.NewTicker(pollInterval)
@@ -111,7 +111,7 @@
 	}
 }
 
-// sendPending starts a sending for each engine whose newest order it does not have.
+// sendPending starts a send for each engine that has not received its newest order.
 func (s *Service) sendPending(ctx context.Context) {
 	view := s.store.View()
 	if view == nil {
@@ -131,7 +131,7 @@
 	}
 }
 
-// tryStart reports whether an order is to be sent now, and marks its engine busy.
+// tryStart reports whether an order is to be sent now, and if so marks its engine busy.
 func (s *Service) tryStart(e config.Engine) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -142,7 +142,7 @@
 	return true
 }
 
-// finish notes what came of a sending.
+// finish records the result of a send.
 func (s *Service) finish(e config.Engine, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -151,20 +151,20 @@
 	switch {
 	case err == nil || errors.As(err, &old):
 		s.delivered[e.Name] = e.OrderFence
-		s.log.Info("order given", "engine", e.Name, "fence", e.OrderFence, "order", e.Order)
+		s.log.Info("order delivered", "engine", e.Name, "fence", e.OrderFence, "order", e.Order)
 	default:
-		s.log.Debug("order not given yet", "engine", e.Name, "fence", e.OrderFence, "error", err.Error())
+		s.log.Debug("order not delivered yet", "engine", e.Name, "fence", e.OrderFence, "error", err.Error())
 	}
 }
 
-// OldFenceError says that an engine has seen a newer fence.
+// OldFenceError means that an engine has seen a newer fence.
 type OldFenceError struct{ Engine string }
 
-// Error describes the refusal.
+// Error implements error.
 func (e *OldFenceError) Error() string { return "order: engine at " + e.Engine + " has a newer fence" }
 
-// Deliver sends one order, after proving it current where the engine does not
-// check fences. now is when the proof begins.
+// Deliver sends one order, after verifying that it is current if the engine does not check
+// fences. now is when the verification starts.
 func (s *Service) Deliver(ctx context.Context, now time.Time, e *config.Engine) error {
 	deadline := now.Add(sendTimeout)
 	if e.ChecksFence {
@@ -180,9 +180,8 @@
 	return s.write(ctx, e, row.Version+1, sendRecord{Fence: e.OrderFence, Node: s.node, Done: true}, nil)
 }
 
-// verify takes the engine's row for this order, in one transaction that fails
-// unless the configuration is still the one that made the order the newest. It
-// waits while another node may still be sending.
+// verify claims the engine's row for this order in a transaction that fails unless this node's
+// configuration is still the newest one. It fails while another node may still be sending.
 func (s *Service) verify(ctx context.Context, now time.Time, e *config.Engine) (kv.Row, error) {
 	row, err := s.table.Get(ctx, rowPrefix+e.Name)
 	if err != nil {
@@ -198,21 +197,21 @@
 		return row, &OldFenceError{Engine: e.Address}
 	}
 	if row.Version > 0 && !current.Done && !s.sendExpired(now, e.Name, row.Version) {
-		return row, fmt.Errorf("%w: %s may still be sending", ErrNotCurrent, current.Node)
+		return row, fmt.Errorf("%w: node %s may still be sending", ErrNotCurrent, current.Node)
 	}
 	head, err := s.table.Get(ctx, config.HeadKey)
 	if err != nil {
 		return row, fmt.Errorf("%w: %w", ErrNotCurrent, err)
 	}
 	if version, err := config.HeadVersion(head); err != nil || version != s.store.Version() {
-		return row, fmt.Errorf("%w: the configuration here is not the newest", ErrNotCurrent)
+		return row, fmt.Errorf("%w: this node's configuration is out of date", ErrNotCurrent)
 	}
 	check := &kv.Check{Key: config.HeadKey, Version: head.Version}
 	return row, s.write(ctx, e, row.Version, sendRecord{Fence: e.OrderFence, Node: s.node}, check)
 }
 
-// sendExpired reports whether another node's unfinished sending was seen for so
-// long that its time is up.
+// sendExpired reports whether another node's unfinished send has been watched for so long that
+// the other node may no longer send.
 func (s *Service) sendExpired(now time.Time, engine string, version int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -223,8 +222,8 @@
 	return false
 }
 
-// write writes an engine's row from a version. A write whose fate is not known
-// counts as failed: the order is not sent on it.
+// write updates an engine's row at a given version. A write with an unknown outcome counts as
+// failed, and the order is not sent.
 func (s *Service) write(ctx context.Context, e *config.Engine, version int, row sendRecord, headCheck *kv.Check) error {
 	text, err := json.Marshal(row)
 	if err != nil {
@@ -241,7 +240,7 @@
 	return nil
 }
 
-// Rows returns the engines with orders, and whether they have them.
+// Rows returns the engines with orders and whether they have received them.
 func (s *Service) Rows() []wire.Row {
 	view := s.store.View()
 	if view == nil {
--- a/internal/order/order_test.go
+++ b/internal/order/order_test.go
@@ -20,27 +20,26 @@
 	e1    = config.Engine{Name: "e1", Pool: "llm", Address: "a", Slots: 1, Order: "load model m", OrderFence: 5}
 )
 
-// table is a table in memory.
+// table is an in-memory table.
 type table struct {
 	mu     sync.Mutex
 	rows   map[string]kv.Row
-	before func() // before is called before each transaction.
+	before func() // called before each transaction
 }
 
-// Get reads a row.
 func (t *table) Get(_ context.Context, key string) (kv.Row, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.rows[key], nil
 }
 
-// put writes a row.
+// put writes a row and increments its version.
 func (t *table) put(key string, value any) {
 	text, _ := json.Marshal(value)
 	t.rows[key] = kv.Row{Key: key, Value: text, Version: t.rows[key].Version + 1}
 }
 
-// Transact checks and writes rows.
+// Transact applies a transaction.
 func (t *table) Transact(_ context.Context, txn kv.Txn) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -58,13 +57,12 @@
 	return nil
 }
 
-// sender keeps what was sent, and fails on command.
+// sender records the fences it sends and returns a preset error.
 type sender struct {
 	sent []int
 	err  error
 }
 
-// Order keeps a fence.
 func (s *sender) Order(_ context.Context, _ string, fence int, _ string, _ time.Time) error {
 	s.sent = append(s.sent, fence)
 	return s.err
@@ -73,17 +71,16 @@
 // brokers makes the node the broker of all pools.
 type brokers struct{}
 
-// Owns is true.
 func (brokers) Owns(string) bool { return true }
 
-// newTable returns a table whose configuration is at a version.
+// newTable returns a table with a configuration head at a version.
 func newTable(version int) *table {
 	t := &table{rows: map[string]kv.Row{}}
 	t.put(config.HeadKey, map[string]int{"version": version})
 	return t
 }
 
-// service returns a node's service with version 5 in force.
+// service returns a node's service with configuration version 5.
 func service(t *testing.T, tab *table, s *sender, node string) *order.Service {
 	t.Helper()
 	store := config.NewStore()
@@ -104,33 +101,33 @@
 		}
 	}
 	if fmt.Sprint(s.sent) != "[5]" {
-		t.Errorf("sent %v, want 5 once", s.sent)
+		t.Errorf("sent fences %v, want 5 once", s.sent)
 	}
 }
 
-// TestOrderIsNotSentFromAnOldConfiguration holds that a node whose
-// configuration is behind, or falls behind while it proves, sends nothing.
+// TestOrderIsNotSentFromAnOldConfiguration checks that a node sends nothing if its configuration
+// is out of date or becomes so during verification.
 func TestOrderIsNotSentFromAnOldConfiguration(t *testing.T) {
 	s := &sender{}
 	if err := service(t, newTable(6), s, "n1").Deliver(context.Background(), start, &e1); !errors.Is(err, order.ErrNotCurrent) {
-		t.Errorf("behind: %v", err)
+		t.Errorf("old configuration: %v", err)
 	}
 	tab := newTable(5)
 	tab.before = func() { tab.put(config.HeadKey, map[string]int{"version": 6}) }
 	if err := service(t, tab, s, "n1").Deliver(context.Background(), start, &e1); !errors.Is(err, order.ErrNotCurrent) {
-		t.Errorf("falls behind: %v", err)
+		t.Errorf("configuration replaced during verification: %v", err)
 	}
 	if len(s.sent) > 0 {
 		t.Errorf("sent %v", s.sent)
 	}
 }
 
-// TestUnfinishedSendIsTakenOverAfterItExpires holds that a node takes over another's
-// sending only after it has watched it for longer than that may last.
+// TestUnfinishedSendIsTakenOverAfterItExpires checks that a node takes over another's send only
+// after watching it for longer than that may last.
 func TestUnfinishedSendIsTakenOverAfterItExpires(t *testing.T) {
 	tab, s := newTable(5), &sender{err: errors.New("no answer")}
 	if err := service(t, tab, s, "n1").Deliver(context.Background(), start, &e1); err == nil {
-		t.Fatal("a failed sending gave no error")
+		t.Fatal("a failed send returned no error")
 	}
 	s.err = nil
 	next := service(t, tab, s, "n2")
@@ -140,14 +137,15 @@
 		}
 	}
 	if err := next.Deliver(context.Background(), start.Add(time.Minute+4*time.Second), &e1); err != nil {
-		t.Errorf("after it was outlasted: %v", err)
+		t.Errorf("after it expired: %v", err)
 	}
 	if fmt.Sprint(s.sent) != "[5 5]" {
 		t.Errorf("sent %v", s.sent)
 	}
 }
 
-// TestEngineThatChecksFencesNeedsNoVerification holds that its own refusal is enough.
+// TestEngineThatChecksFencesNeedsNoVerification checks that the engine's own rejection is
+// sufficient.
 func TestEngineThatChecksFencesNeedsNoVerification(t *testing.T) {
 	checked := e1
 	checked.ChecksFence = true
--- a/internal/pause/backoff_test.go
+++ b/internal/pause/backoff_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestBackoffDoublesUpToItsBound holds the pauses after failures in a row, and that a
-// success begins them anew.
+// TestBackoffDoublesUpToItsBound checks the delays after consecutive failures and that a success
+// resets them.
 func TestBackoffDoublesUpToItsBound(t *testing.T) {
 	var b Backoff
 	for round := range 2 {
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits for a time that the end of a context cuts short.
+// Package pause provides waits that end early when a context is done.
 package pause
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for a duration and reports whether the context still goes on.
+// For waits for a duration and returns false if the context ended first.
 func For(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -18,7 +18,8 @@
 	}
 }
 
-// ForOrWake waits for a duration, which the end of a context and a wake-up cut short. A nil channel never wakes.
+// ForOrWake waits for a duration, the end of the context or a wake-up, whichever comes first. A
+// nil channel never wakes it.
 func ForOrWake(ctx context.Context, d time.Duration, wake <-chan struct{}) {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/pause/pause_test.go
+++ b/internal/pause/pause_test.go
@@ -8,14 +8,14 @@
 	"github.com/croftturn/croftturn/internal/pause"
 )
 
-// TestFor holds that a pause ends with its time or with the context, and tells which.
+// TestFor checks that a wait ends with its duration or its context and reports which.
 func TestFor(t *testing.T) {
 	if !pause.For(context.Background(), time.Microsecond) {
-		t.Error("a pause that lasted its time says that the context ended")
+		t.Error("For reported the end of the context after the full duration")
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if pause.For(ctx, time.Hour) {
-		t.Error("a pause that the context ended says that it goes on")
+		t.Error("For did not report the end of the context")
 	}
 }
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -169,7 +169,7 @@
 	return e == nil || e.Draining
 }
 
-// Known reports whether there are any engines.
+// HasEngines reports whether there are any engines.
 func (p *Placement) HasEngines() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/placement/weigh.go
+++ b/internal/placement/weigh.go
@@ -37,7 +37,7 @@
 	// maxSpread is the maximum number of engines beyond that counts: a free slot matters more.
 	maxSpread = 5
 
-	// maxStreamsPerEngine is how many separated streams share one engine, and maxStreamSlots the
+	// maxStreamsPerEngine is how many separated streams share one engine, and maxStreamSlotShare the
 	// share of its slots that they take at most. Mean score of four seeds with 24, 36, 48 and 80
 	// on engines of 64 slots: 0.644, 0.655, 0.668, 0.663. Using fewer engines for streams leaves
 	// more for long prompts.
--- a/internal/scaling/scaling.go
+++ b/internal/scaling/scaling.go
@@ -1,9 +1,10 @@
-// Package scaling decides how many engines each hall should hold, of ordinary ones and of those that the platform may
-// take away. It knows no network: what is seen and asked for comes as arguments.
+// Package scaling decides how many on-demand and spot engines each hall should hold. It does no
+// I/O: observations and settings are passed as arguments.
 //
-// The load that it answers: it doubles or triples within a second, while an engine starts in seconds; and all engines that
-// may be taken away leave a hall, or cannot be had anywhere for a while, with a few seconds' notice. So the reserve is
-// held beforehand where it is cheap, and ordinary engines, which stay, are ordered where the cheap ones are gone.
+// The load may double or triple within a second, while an engine takes seconds to start. All
+// spot engines may be reclaimed from a hall, or be unavailable everywhere for a while, with a
+// few seconds' notice. So the reserve is held in advance where it is cheap, and on-demand
+// engines, which are not reclaimed, are ordered where spot ones are lost.
 package scaling
 
 import (
@@ -14,65 +15,72 @@
 )
 
 const (
-	// targetUtilization is the share of an engine's time that prompts may take before streams beside them pause for too long, and
-	// busyShort what is borne for as long as engines that may be taken away can't be had.
+	// targetUtilization is the share of an engine's time that prompt processing may take before
+	// the gaps of concurrent streams get too long, and maxUtilization the share accepted while
+	// spot engines are unavailable.
 	targetUtilization = 0.4
 	maxUtilization    = 0.7
 
-	// reserveFactor divided by the price of an engine, against an ordinary one, is how many times the engines that the load
-	// needs are held, between reserveLeast and reserveMost.
+	// reserveFactor, divided by the price of an engine relative to an on-demand one, is the
+	// ratio of held engines to those that the load needs, between minReserve and maxReserve.
 	reserveFactor = 0.45
 	minReserve    = 1.3
 	maxReserve    = 3.0
 
-	// maxSpotPrice is the price from which on engines that may be taken away aren't worth their loss.
+	// maxSpotPrice is the relative price from which spot engines are not worth the risk of their
+	// loss.
 	maxSpotPrice = 0.8
 
-	// minOnDemandShare of what the load needs are ordinary engines at all times, and no less than can read the prompts of all
-	// tiers but the lowest, reading all the time: what these need for some seconds if all others leave at once.
+	// minOnDemandShare is the minimum share of needed engines that are on-demand. There are also
+	// at least as many as can process the prompts of all tiers but the lowest at full
+	// utilization, which those tiers need for some seconds if all spot engines leave at once.
 	minOnDemandShare = 0.03
 
-	// peakWindow is how long the highest load counts, and shortLife for how long while engines can't be had.
+	// peakWindow is how long the highest load counts, and shortWindow how long while engines are
+	// unavailable.
 	peakWindow  = time.Minute
 	shortWindow = 4 * time.Second
 
-	// initialStableTime is for how long the engines that are there have to be as many, until they count as what the operators began with.
+	// initialStableTime is how long the number of engines must be constant to count as the
+	// operators' initial number.
 	initialStableTime = time.Second
 
-	// refusalBackoff is how long none is ordered of a kind that could not be had, and settle how long after an order the
-	// engines seen are not expected to be as many as ordered, beyond their start.
+	// refusalBackoff is how long no spot engines are ordered after a refusal, and settleTime how
+	// long after an order, beyond the boot time, the observed engines may be fewer than ordered.
 	refusalBackoff = 1500 * time.Millisecond
 	settleTime     = 3 * time.Second
 
-	// minDemand is the least load that counts as one: tests of a few requests come also where no caller does.
+	// minDemand is the lowest load that counts as load: a few test requests arrive even without
+	// callers.
 	minDemand = 0.5
 
-	// demandWarmup is how long a new holder watches the load before it orders fewer ordinary engines.
+	// demandWarmup is how long a new duty holder observes the load before it reduces on-demand
+	// engines.
 	demandWarmup = 3 * time.Second
 
-	// scaleDownInterval is the least time between two steps down of a kind in a hall.
+	// scaleDownInterval is the minimum time between two reductions of one kind in a hall.
 	scaleDownInterval = 2 * time.Second
 )
 
 type (
-	// Limits are what the operators set for a pool.
+	// Limits holds the operators' settings for a pool.
 	Limits struct {
-		Min, Max   int           // Min and Max bound the engines of a hall, of both kinds.
-		BootTime   time.Duration // Boot is how long an engine takes until it serves.
-		SpotPrice  float64       // Spot is the price of an engine that may be taken away, against that of an ordinary one.
+		Min, Max   int           // Min and Max bound the engines of a hall, both kinds together.
+		BootTime   time.Duration // BootTime is how long an engine takes until it serves.
+		SpotPrice  float64       // SpotPrice is the price of a spot engine relative to an on-demand one.
 		HallPrices map[string]float64
 	}
 
-	// HallState is what a hall has of a pool.
+	// HallState is the observed state of a pool in a hall.
 	HallState struct {
-		OnDemand     int // Staying counts ordinary engines that serve and do not leave.
-		Spot         int // Spot counts those that may be taken away, serve and do not leave.
-		SpotDraining int // Leaving counts those that may be taken away and leave.
+		OnDemand     int // OnDemand counts on-demand engines that serve and are not draining.
+		Spot         int // Spot counts spot engines that serve and are not draining.
+		SpotDraining int // SpotDraining counts spot engines that are draining.
 
-		Evacuated bool // Evacuated says that engines there get no new requests.
+		Evacuated bool // Evacuated means that engines there get no new requests.
 	}
 
-	// Order asks for a number of engines of one kind in a hall.
+	// Order requests a number of engines of one kind in a hall.
 	Order struct {
 		Pool  string `json:"pool"`
 		Hall  string `json:"hall"`
@@ -84,51 +92,52 @@
 	Scaler struct {
 		pool   string
 		states map[engineKind]*orderState
-		peaks  peaks // peaks are of all requests.
-		upper  peaks // upper are of those above the lowest tier.
+		peaks  peaks // load of all requests
+		upper  peaks // load of requests above the lowest tier
 
-		initial      int       // first is how many engines there were at first: what the operators began with.
-		initialSince time.Time // firstAt is since when they were as many.
-		initialKnown bool      // begun says that first holds.
-		since        time.Time // since is when this node began to decide.
+		initial      int       // number of engines that the operators started with
+		initialSince time.Time // since when that number has been constant
+		initialKnown bool      // whether initial is final
+		since        time.Time // when this node began to decide
 
-		firstLoadAt time.Time // loadedAt is when a load was first seen.
+		firstLoadAt time.Time // when load was first observed
 	}
 
-	// Demand is reading that engines are given: how many would be busy all the time with it or, in a sum, milliseconds of one.
+	// Demand is prompt processing: the number of engines that it would keep fully busy or, as a
+	// sum, engine milliseconds.
 	Demand struct {
-		All   float64 `json:"all"`   // All is of all requests.
-		Upper float64 `json:"upper"` // Upper is of those for which the pool serves a lower tier, too.
+		All   float64 `json:"all"`   // All covers all requests.
+		Upper float64 `json:"upper"` // Upper covers requests for which the pool also serves a lower tier.
 	}
 
-	// engineKind is one engineKind of engine in a hall.
+	// engineKind is one kind of engine in a hall.
 	engineKind struct {
 		hall string
 		spot bool
 	}
 
-	// orderState is what was asked for.
+	// orderState is the last order of a kind.
 	orderState struct {
 		count   int
 		known   bool
-		at      time.Time // at is when it was ordered.
-		refused time.Time // refused is when none could be had.
+		at      time.Time // when it was ordered
+		refused time.Time // when the platform last refused an order
 	}
 
-	// peaks are the highest loads of late, each higher than those after it.
+	// peaks holds recent load maxima in time order, each higher than the later ones.
 	peaks []peak
 
-	// peak is a load at a moment.
+	// peak is the load at a time.
 	peak struct {
 		at     time.Time
 		demand float64
 	}
 )
 
-// New returns a scaler of a pool.
+// New returns a scaler for a pool.
 func New(pool string) *Scaler { return &Scaler{pool: pool, states: map[engineKind]*orderState{}} }
 
-// ObserveLoad takes the load: how many engines would be busy all the time with the prompts that come.
+// ObserveLoad records the load: how many engines the arriving prompts would keep fully busy.
 func (s *Scaler) ObserveLoad(now time.Time, demand Demand) {
 	s.peaks.note(now, demand.All)
 	s.upper.note(now, demand.Upper)
@@ -137,13 +146,13 @@
 	}
 }
 
-// note takes a load, and forgets those that don't count any more.
+// note records a load and removes entries that no longer matter.
 func (p *peaks) note(now time.Time, demand float64) {
 	*p = slices.DeleteFunc(*p, func(old peak) bool { return now.Sub(old.at) > peakWindow || old.demand <= demand })
 	*p = append(*p, peak{at: now, demand: demand})
 }
 
-// highest returns the highest load since a moment.
+// highest returns the highest load since a given time.
 func (p peaks) highest(since time.Time) float64 {
 	highest := 0.0
 	for _, each := range p {
@@ -154,8 +163,8 @@
 	return highest
 }
 
-// Need returns how many engines the highest load of late needs. Until a load was seen for long enough, it is no less
-// than what the operators began with.
+// Need returns how many engines the highest recent load needs. Until load has been observed for
+// peakWindow, it is at least the operators' initial number.
 func (s *Scaler) Need(now time.Time) int {
 	need := int(math.Ceil(s.peaks.highest(now.Add(-peakWindow)) / targetUtilization))
 	if s.firstLoadAt.IsZero() || now.Sub(s.firstLoadAt) < peakWindow {
@@ -164,11 +173,11 @@
 	return need
 }
 
-// needPerHall returns what one of some halls has to hold of what is needed.
+// needPerHall returns the share of one hall in the needed engines, rounded up.
 func needPerHall(need, halls int) int { return (need + halls - 1) / halls }
 
-// shortTermNeed returns how many engines get through the load of the newest seconds; until there was any, it is what the
-// operators began with.
+// shortTermNeed returns how many engines can handle the load of the last seconds; before any
+// load, it is the operators' initial number.
 func (s *Scaler) shortTermNeed(now time.Time) int {
 	if s.firstLoadAt.IsZero() {
 		return s.initial
@@ -176,7 +185,8 @@
 	return int(math.Ceil(s.peaks.highest(now.Add(-shortWindow)) / maxUtilization))
 }
 
-// learnInitial settles what the operators began with, and reports whether that is known.
+// learnInitial determines the operators' initial number of engines and reports whether it is
+// known.
 func (s *Scaler) learnInitial(now time.Time, halls map[string]HallState) bool {
 	n := countEngines(halls)
 	if !s.initialKnown && (n != s.initial || s.initialSince.IsZero()) {
@@ -186,7 +196,8 @@
 	return s.initialKnown
 }
 
-// Decide returns the orders that are due: at most one for each kind in a hall, and none that changes nothing.
+// Decide returns the due orders: at most one for each kind in a hall, and none that changes
+// nothing.
 func (s *Scaler) Decide(now time.Time, limits Limits, halls map[string]HallState) []Order {
 	names := hallsByPrice(limits, halls)
 	if s.since.IsZero() {
@@ -206,8 +217,9 @@
 	return orders
 }
 
-// excludeEvacuated returns the halls that are not evacuated, which hold what the load needs meanwhile; all if there are none. An
-// evacuated hall keeps its engines: it is taken back without notice, and new ones take seconds to start.
+// excludeEvacuated returns the halls that are not evacuated, which carry the load meanwhile; all
+// halls if there are none. An evacuated hall keeps its engines: an evacuation may end without
+// notice, and new engines take seconds to start.
 func excludeEvacuated(names []string, halls map[string]HallState) []string {
 	var out []string
 	for _, name := range names {
@@ -221,40 +233,40 @@
 	return out
 }
 
-// decideHall returns the orders that are due in a hall, of which least engines must go on serving. What both kinds are
-// ordered to be never passes the limit, so that what makes room comes first.
+// decideHall returns the due orders of a hall in which at least least engines must keep serving.
+// The ordered counts of both kinds together never exceed the limit, so reductions come first.
 func (s *Scaler) decideHall(now time.Time, limits Limits, hall string, seen HallState, w target, least int) []Order {
-	staying, spot := s.state(hall, false, seen.OnDemand), s.state(hall, true, seen.Spot)
-	if w.onDemand < staying.count {
-		w.onDemand = min(staying.count, max(w.onDemand, least-seen.Spot)) // They leave once others serve in their place.
+	onDemand, spot := s.state(hall, false, seen.OnDemand), s.state(hall, true, seen.Spot)
+	if w.onDemand < onDemand.count {
+		w.onDemand = min(onDemand.count, max(w.onDemand, least-seen.Spot)) // Reduce only once other engines serve instead.
 	}
-	changes := s.due(now, limits, staying, w.onDemand, seen.OnDemand) && (w.onDemand > staying.count || s.observedFor(now, demandWarmup))
+	changes := s.due(now, limits, onDemand, w.onDemand, seen.OnDemand) && (w.onDemand > onDemand.count || s.observedFor(now, demandWarmup))
 	if !changes {
-		w.onDemand = staying.count
+		w.onDemand = onDemand.count
 	}
 	room := limits.Max - w.onDemand
 	w.spot = min(w.spot, room)
 	var orders []Order
-	if spot.count > room { // Where none can be had, only as many as there are can be asked for.
+	if spot.count > room { // If spot engines are unavailable, only as many as exist can be ordered.
 		orders = append(orders, Order{Pool: s.pool, Hall: hall, Spot: true, Count: min(room, seen.Spot)})
 	}
 	if changes {
 		orders = append(orders, Order{Pool: s.pool, Hall: hall, Count: w.onDemand})
 	}
-	more := w.spot >= spot.count || s.observedFor(now, peakWindow)
-	if spot.count <= room && more && s.due(now, limits, spot, w.spot, seen.Spot) && now.Sub(spot.refused) >= refusalBackoff {
+	scaleSpot := w.spot >= spot.count || s.observedFor(now, peakWindow)
+	if spot.count <= room && scaleSpot && s.due(now, limits, spot, w.spot, seen.Spot) && now.Sub(spot.refused) >= refusalBackoff {
 		orders = append(orders, Order{Pool: s.pool, Hall: hall, Spot: true, Count: w.spot})
 	}
 	return orders
 }
 
-// observedFor reports whether the load has been observedFor for so long.
+// observedFor reports whether this node has observed the load for a duration.
 func (s *Scaler) observedFor(now time.Time, d time.Duration) bool { return now.Sub(s.since) >= d }
 
-// target is what a hall should hold.
+// target is the number of engines a hall should hold.
 type target struct{ onDemand, spot int }
 
-// targets returns what each hall should hold.
+// targets returns the number of engines each hall should hold.
 func (s *Scaler) targets(now time.Time, limits Limits, names []string, halls map[string]HallState, need int) map[string]target {
 	out := map[string]target{}
 	n := len(names)
@@ -270,40 +282,40 @@
 		}
 		return out
 	}
-	always := max(minOnDemandShare*float64(need), s.upper.highest(now.Add(-peakWindow)))
-	staying := min(int(math.Ceil(always/float64(n))), perHall)
-	have := 0
+	minOnDemand := max(minOnDemandShare*float64(need), s.upper.highest(now.Add(-peakWindow)))
+	onDemand := min(int(math.Ceil(minOnDemand/float64(n))), perHall)
+	expected := 0
 	for _, hall := range names {
-		t := target{onDemand: staying, spot: perHall - staying}
+		t := target{onDemand: onDemand, spot: perHall - onDemand}
 		if spot := s.states[engineKind{hall, true}]; halls[hall].SpotDraining > 0 || spot != nil && !spot.refused.IsZero() && now.Sub(spot.refused) < 2*refusalBackoff {
-			have += t.onDemand + min(t.spot, halls[hall].Spot) // None can be had there now.
+			expected += t.onDemand + min(t.spot, halls[hall].Spot) // Spot engines are currently unavailable there.
 		} else {
-			have += t.onDemand + t.spot
+			expected += t.onDemand + t.spot
 		}
 		out[hall] = t
 	}
-	for short := s.shortTermNeed(now) - have; short > 0; {
-		before := short
+	for missing := s.shortTermNeed(now) - expected; missing > 0; {
+		before := missing
 		for _, hall := range names {
 			t := out[hall]
-			if short > 0 && t.onDemand+halls[hall].Spot < limits.Max {
+			if missing > 0 && t.onDemand+halls[hall].Spot < limits.Max {
 				t.onDemand++
-				short--
+				missing--
 				out[hall] = t
 			}
 		}
-		if short == before {
+		if missing == before {
 			break
 		}
 	}
 	return out
 }
 
-// due reports whether an order should go out.
+// due reports whether an order should be sent.
 func (s *Scaler) due(now time.Time, limits Limits, o *orderState, want, seen int) bool {
 	switch {
 	case want == o.count:
-		return seen < want && now.Sub(o.at) > limits.BootTime+settleTime // Some were lost, or taken away.
+		return seen < want && now.Sub(o.at) > limits.BootTime+settleTime // Some engines failed or were reclaimed.
 	case want > o.count:
 		return true
 	case now.Sub(o.at) < scaleDownInterval:
@@ -312,7 +324,8 @@
 	return seen >= o.count || now.Sub(o.at) > limits.BootTime+settleTime
 }
 
-// state returns what was ordered of a state; before the first order it is what is there.
+// state returns the order state of a kind; before the first order its count is the observed
+// number.
 func (s *Scaler) state(hall string, spot bool, seen int) *orderState {
 	k := engineKind{hall, spot}
 	o := s.states[k]
@@ -326,24 +339,25 @@
 	return o
 }
 
-// Restore takes what a holder before ordered: what there is now is not what the operators began with.
+// Restore records an order of a previous duty holder. The current number of engines is then not
+// the operators' initial one.
 func (s *Scaler) Restore(now time.Time, order Order) {
 	s.initialKnown, s.initial = true, 0
 	s.OrderAccepted(now, order)
 }
 
-// OrderAccepted says that an order was taken by the platform.
+// OrderAccepted records that the platform accepted an order.
 func (s *Scaler) OrderAccepted(now time.Time, order Order) {
 	o := s.state(order.Hall, order.Spot, 0)
 	o.count, o.known, o.at, o.refused = order.Count, true, now, time.Time{}
 }
 
-// OrderRefused says that none can be had of the kind at present.
+// OrderRefused records that engines of the order's kind are currently unavailable.
 func (s *Scaler) OrderRefused(now time.Time, order Order) {
 	s.state(order.Hall, order.Spot, 0).refused = now
 }
 
-// Orders returns what was ordered last of each kind, always in one order.
+// Orders returns the last order of each kind, sorted.
 func (s *Scaler) Orders() []Order {
 	var out []Order
 	for k, o := range s.states {
@@ -356,14 +370,14 @@
 			return cmp.Compare(a.Hall, b.Hall)
 		}
 		if b.Spot {
-			return -1 // Ordinary ones come first.
+			return -1 // On-demand engines come first.
 		}
 		return 1
 	})
 	return out
 }
 
-// countEngines returns how many engines there are.
+// countEngines returns the number of engines in all halls.
 func countEngines(halls map[string]HallState) int {
 	n := 0
 	for _, h := range halls {
--- a/internal/scaling/scaling_test.go
+++ b/internal/scaling/scaling_test.go
@@ -9,32 +9,32 @@
 
 var start = time.Unix(1000, 0)
 
-// step is the time between two looks of the holder.
+// step is the time between two decisions.
 const step = 250 * time.Millisecond
 
-// limits are those of a pool with three halls, where engines that may be taken away have a price.
+// limits returns the settings of a pool with three halls and a spot price.
 func limits(spot float64, boot time.Duration) Limits {
 	return Limits{Min: 1, Max: 40, BootTime: boot, SpotPrice: spot, HallPrices: map[string]float64{"a": 0.85, "b": 1.2, "c": 1}}
 }
 
-// fakePlatform is a platform that starts and takes away engines.
+// fakePlatform simulates a platform that starts and reclaims engines.
 type fakePlatform struct {
 	t           *testing.T
 	s           *Scaler
 	limits      Limits
 	now         time.Time
-	load        float64 // load is how many engines are kept busy.
-	upper       float64 // upper is how many of these are by tiers above the lowest.
+	load        float64 // number of engines kept busy
+	upper       float64 // part of load above the lowest tier
 	want        map[engineKind]int
 	have        map[engineKind]int
 	starts      map[engineKind][]time.Time
-	noSpotUntil time.Time // dry is until when no engine that may be taken away can be had.
+	noSpotUntil time.Time // until when no spot engine is available
 	orders      int
-	cost        float64 // price is what was paid, in seconds of an ordinary engine.
-	minServing  int     // leastOf is the least number of engines that served at once since it was reset.
+	cost        float64 // accumulated cost, in seconds of an on-demand engine
+	minServing  int     // minimum number of engines serving at once
 }
 
-// newFakePlatform returns a platform with some ordinary engines in each of three halls.
+// newFakePlatform returns a platform with some on-demand engines in each of three halls.
 func newFakePlatform(t *testing.T, l Limits, each int) *fakePlatform {
 	x := &fakePlatform{t: t, s: New("p"), limits: l, now: start, want: map[engineKind]int{}, have: map[engineKind]int{}, starts: map[engineKind][]time.Time{}, minServing: 1 << 30}
 	for hall := range l.HallPrices {
@@ -43,7 +43,7 @@
 	return x
 }
 
-// seen returns what service discovery shows.
+// seen returns the state that service discovery shows.
 func (x *fakePlatform) seen() map[string]HallState {
 	out := map[string]HallState{}
 	for hall := range x.limits.HallPrices {
@@ -52,7 +52,7 @@
 	return out
 }
 
-// run lets some time pass.
+// run advances the simulation by a duration.
 func (x *fakePlatform) run(d time.Duration) {
 	for end := x.now.Add(d); x.now.Before(end); x.now = x.now.Add(step) {
 		x.s.ObserveLoad(x.now, Demand{All: x.load, Upper: x.upper})
@@ -63,7 +63,7 @@
 	}
 }
 
-// apply takes an order.
+// apply processes an order.
 func (x *fakePlatform) apply(o Order) {
 	x.orders++
 	k := engineKind{o.Hall, o.Spot}
@@ -84,7 +84,7 @@
 	x.s.OrderAccepted(x.now, o)
 }
 
-// advance starts engines and counts what they cost.
+// advance starts engines that have booted and adds up the cost.
 func (x *fakePlatform) advance() {
 	serving := 0
 	for hall, price := range x.limits.HallPrices {
@@ -104,13 +104,13 @@
 	x.minServing = min(x.minServing, serving)
 }
 
-// reclaim takes all engines of a hall away that may be, and none can be had for a while.
-func (x *fakePlatform) reclaim(hall string, dry time.Duration) {
+// reclaim removes all spot engines of a hall and makes spot engines unavailable for a while.
+func (x *fakePlatform) reclaim(hall string, outage time.Duration) {
 	x.have[engineKind{hall, true}], x.starts[engineKind{hall, true}] = 0, nil
-	x.noSpotUntil = x.now.Add(dry)
+	x.noSpotUntil = x.now.Add(outage)
 }
 
-// serving returns how many engines serve.
+// serving returns the number of serving engines.
 func (x *fakePlatform) serving() int {
 	n := 0
 	for _, have := range x.have {
@@ -119,29 +119,31 @@
 	return n
 }
 
-// TestCheapSpotEnginesReplaceOnDemandOnes holds that where engines that may be taken away cost little, they take the place of ordinary
-// ones, that never fewer serve meanwhile than the operators began with, and that it then stays so.
+// TestCheapSpotEnginesReplaceOnDemandOnes checks that cheap spot engines replace on-demand ones,
+// that never fewer engines serve meanwhile than the operators started with, and that the result
+// is stable.
 func TestCheapSpotEnginesReplaceOnDemandOnes(t *testing.T) {
 	x := newFakePlatform(t, limits(0.15, 4*time.Second), 20)
 	x.run(20 * time.Second)
 	if x.minServing < 60 {
-		t.Errorf("only %d engines served meanwhile, of 60 at first", x.minServing)
+		t.Errorf("only %d engines served meanwhile, initially 60", x.minServing)
 	}
 	for hall, seen := range x.seen() {
 		if seen.OnDemand > 3 || seen.OnDemand+seen.Spot != 40 {
-			t.Errorf("hall %s: %+v, want 40 and few ordinary ones", hall, seen)
+			t.Errorf("hall %s: %+v, want 40 engines and few on-demand ones", hall, seen)
 		}
 	}
 	before := x.orders
 	x.load = 20
 	x.run(30 * time.Second)
 	if x.orders-before > 6 {
-		t.Errorf("%d orders in 30 s of an even load", x.orders-before)
+		t.Errorf("%d orders in 30 s of constant load", x.orders-before)
 	}
 }
 
-// TestSpotLossInOneOrAllHalls holds what serves once all engines that may be taken away have left one hall, or all halls, and
-// none can be had for ten seconds: what the load needs, after the time in which ordinary ones start.
+// TestSpotLossInOneOrAllHalls checks that enough engines for the load serve, after the boot time
+// of on-demand ones, once all spot engines have left one hall or all halls and are unavailable
+// for ten seconds.
 func TestSpotLossInOneOrAllHalls(t *testing.T) {
 	for _, lost := range []int{1, 3} {
 		x := newFakePlatform(t, limits(0.15, 4*time.Second), 20)
@@ -152,19 +154,20 @@
 		}
 		x.run(6 * time.Second)
 		if need := int(x.load / maxUtilization); x.serving() < need {
-			t.Errorf("%d halls: 6 s later %d engines serve, want %d", lost, x.serving(), need)
+			t.Errorf("%d halls: %d engines serve after 6 s, want %d", lost, x.serving(), need)
 		}
 		x.run(25 * time.Second)
 		for hall, seen := range x.seen() {
 			if seen.OnDemand > 3 || seen.Spot < 35 {
-				t.Errorf("%d halls: 30 s later hall %s has %+v", lost, hall, seen)
+				t.Errorf("%d halls: hall %s has %+v after 30 s", lost, hall, seen)
 			}
 		}
 	}
 }
 
-// TestOnDemandFollowsLoadWhereSpotIsExpensive holds that where engines that may be taken away cost nearly as much, ordinary ones follow the load:
-// up at once, down not before a minute, and never by more orders than changes of the load.
+// TestOnDemandFollowsLoadWhereSpotIsExpensive checks that where spot engines cost nearly as
+// much, on-demand ones follow the load: up at once, down only after a minute, and with few
+// orders per change of the load.
 func TestOnDemandFollowsLoadWhereSpotIsExpensive(t *testing.T) {
 	for _, boot := range []time.Duration{4 * time.Second, 9 * time.Second} {
 		x := newFakePlatform(t, limits(0.9, boot), 20)
@@ -178,7 +181,7 @@
 		x.load = 10
 		x.run(40 * time.Second)
 		if x.serving() < 75 {
-			t.Errorf("boot %v: the reserve is gone 40 s after the peak, %d engines", boot, x.serving())
+			t.Errorf("boot %v: only %d engines 40 s after the peak, the reserve is gone", boot, x.serving())
 		}
 		x.run(60 * time.Second)
 		if x.serving() > 40 {
@@ -186,7 +189,7 @@
 		}
 		for hall, seen := range x.seen() {
 			if seen.Spot > 0 {
-				t.Errorf("hall %s has %d dear engines that may be taken away", hall, seen.Spot)
+				t.Errorf("hall %s has %d expensive spot engines", hall, seen.Spot)
 			}
 		}
 		if x.orders > 24 {
@@ -195,7 +198,8 @@
 	}
 }
 
-// TestNothingIsOrderedBeforeTheEnginesAreKnown holds that a holder which does not know the engines yet orders nothing.
+// TestNothingIsOrderedBeforeTheEnginesAreKnown checks that a duty holder that has not seen any
+// engines orders nothing.
 func TestNothingIsOrderedBeforeTheEnginesAreKnown(t *testing.T) {
 	s := New("p")
 	l := limits(0.15, 4*time.Second)
@@ -207,7 +211,8 @@
 	}
 }
 
-// TestOrdersOutliveTheHolder holds that a holder which knows what was ordered before does not order it again.
+// TestOrdersOutliveTheHolder checks that a new duty holder that knows the previous orders does
+// not repeat them.
 func TestOrdersOutliveTheHolder(t *testing.T) {
 	x := newFakePlatform(t, limits(0.15, 4*time.Second), 20)
 	x.load = 25
@@ -220,12 +225,12 @@
 	x.s, x.orders = next, 0
 	x.run(3 * time.Second)
 	if x.orders > 3 {
-		t.Errorf("%d orders of a new holder: %s, then %v", x.orders, before, x.want)
+		t.Errorf("a new duty holder sent %d orders: %s, then %v", x.orders, before, x.want)
 	}
 }
 
-// TestAllOrdersComeInOneOrder holds that what was ordered is always told in one order, also where both kinds have as many: it is
-// written to the store whenever it differs.
+// TestAllOrdersComeInOneOrder checks that orders are always listed in the same order, even if
+// both kinds have the same count: the list is written to the store whenever it differs.
 func TestAllOrdersComeInOneOrder(t *testing.T) {
 	s := New("p")
 	for _, hall := range []string{"b", "a"} {
@@ -241,8 +246,8 @@
 	}
 }
 
-// TestOtherHallsReplaceAnEvacuatedOne holds that the halls which are not evacuated get engines for the whole load at once,
-// that the evacuated one keeps its own, and that where all are evacuated nothing is ordered for it.
+// TestOtherHallsReplaceAnEvacuatedOne checks that the other halls get engines for the whole load
+// at once, and that the evacuated hall keeps its own without new orders.
 func TestOtherHallsReplaceAnEvacuatedOne(t *testing.T) {
 	s := New("p")
 	halls := map[string]HallState{"a": {OnDemand: 12}, "b": {OnDemand: 12}, "c": {OnDemand: 12}}
@@ -269,19 +274,20 @@
 	}
 }
 
-// TestOnDemandEnginesCarryTiersAboveTheLowest holds that as many ordinary engines are there as read the prompts of all tiers
-// but the lowest, where all others are taken away at once, and no more of them than a small share where there is one tier.
+// TestOnDemandEnginesCarryTiersAboveTheLowest checks that there are enough on-demand engines for
+// the prompts of all tiers but the lowest if all spot engines leave at once, and hardly more
+// than the minimum share if there is only one tier.
 func TestOnDemandEnginesCarryTiersAboveTheLowest(t *testing.T) {
 	for _, upper := range []float64{0, 6} {
 		x := newFakePlatform(t, limits(0.18, 4*time.Second), 10)
 		x.load, x.upper = 20, upper
 		x.run(90 * time.Second)
-		staying := 0
+		onDemand := 0
 		for hall := range x.limits.HallPrices {
-			staying += x.have[engineKind{hall, false}]
+			onDemand += x.have[engineKind{hall, false}]
 		}
-		if least := upper; float64(staying) < least || float64(staying) > least+6 {
-			t.Errorf("%d ordinary engines, want %.0f or few more for what is above the lowest tier", staying, math.Ceil(least))
+		if least := upper; float64(onDemand) < least || float64(onDemand) > least+6 {
+			t.Errorf("%d on-demand engines, want %.0f or slightly more for the tiers above the lowest", onDemand, math.Ceil(least))
 		}
 	}
 }
