--- a/internal/placement/pool.go
+++ b/internal/placement/pool.go
@@ -109,7 +109,7 @@
 		if e.Slots > 0 {
 			requests += load.InFlight
 			slots += e.Slots
-			maxStreams = min(maxStreams, max(1, int(maxStreamSlots*float64(e.Slots))))
+			maxStreams = min(maxStreams, max(1, int(maxStreamSlotShare*float64(e.Slots))))
 		}
 	}
 	p.occupancy = float64(requests) / float64(max(1, slots))
--- a/internal/placement/weigh.go
+++ b/internal/placement/weigh.go
@@ -42,7 +42,7 @@
 	// on engines of 64 slots: 0.644, 0.655, 0.668, 0.663. Using fewer engines for streams leaves
 	// more for long prompts.
 	maxStreamsPerEngine = 48
-	maxStreamSlots      = 0.75
+	maxStreamSlotShare  = 0.75
 
 	// backlogGapShare is the share of a stream's gap limit within which an engine should be able
 	// to process its whole prompt queue; the rest is for what other nodes send it meanwhile.
