--- a/internal/placement/cold.go
+++ b/internal/placement/cold.go
@@ -45,12 +45,12 @@
 	return func(p *Placement) { p.senders = senders{self: self, names: names} }
 }
 
-// SetColdLimit sets how many requests a second a cold engine of a pool may get from all nodes
-// together; 0 means no limit.
-func (p *Placement) SetColdLimit(pool string, most float64) {
+// SetColdLimit sets how many requests a cold engine of a pool may get in any second from all
+// nodes together; 0 means no limit.
+func (p *Placement) SetColdLimit(pool string, limit float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.poolState(pool).coldLimit = most
+	p.poolState(pool).coldLimit = limit
 }
 
 // allowsCold reports whether this node may send one more request to an engine; always true for
--- a/internal/placement/late.go
+++ b/internal/placement/late.go
@@ -93,15 +93,15 @@
 		return false
 	}
 	gap := milliseconds(r.MaxGap)
-	first := 0.0
+	prior := 0.0
 	if prefillChunk*float64(max(1, r.TokensPerEvent))/p.prefillRate() > sensitiveGapShare*gap {
-		first = priorLateShare
+		prior = priorLateShare
 	}
 	events := float64(r.Events)
 	if events <= 0 {
 		events = defaultEvents
 	}
-	return events*p.gaps.of(r.MaxGap).share(first) > maxLateGaps && float64(r.Prompt.Tokens) <= shortPromptShare*gap*p.prefillRate()
+	return events*p.gaps.of(r.MaxGap).share(prior) > maxLateGaps && float64(r.Prompt.Tokens) <= shortPromptShare*gap*p.prefillRate()
 }
 
 // noteGap records a gap between two chunks of a stream, unless the engine is one of those
