--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -119,7 +119,7 @@
 	Pool struct {
 		Name   string
 		Limits scaling.Limits
-		Halls  map[string]scaling.Seen
+		Halls  map[string]scaling.HallState
 	}
 
 	// Settings configure a node's part.
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -170,7 +170,7 @@
 	var err error
 	e.proof = freshness.New(proofMaxAge(s))
 	e.limits = limit.New(e.log)
-	e.placement = placement.New(s.Hall, placement.WithLimits(e.limits), placement.WithUnheard(e.unheardPeers), placement.WithSenders(s.Instance, e.senders), placement.WithRegions(s.HallRegions))
+	e.placement = placement.New(s.Hall, placement.WithLimits(e.limits), placement.WithUnseenNodes(e.unheardPeers), placement.WithSenders(s.Instance, e.senders), placement.WithRegions(s.HallRegions))
 	e.quarantine = quarantine.New(e.retriesHeld, e.log)
 	e.evacuations = evacuation.New(e.placement, e.log)
 	if e.gossip, err = gossip.New(self, e.log); err != nil {
--- a/internal/edge/evacuation_test.go
+++ b/internal/edge/evacuation_test.go
@@ -27,7 +27,7 @@
 		return ok
 	}
 	e.configTable.Change(now, []feed.Row{evacuationRow("h2", 20, false)})
-	if open() || !e.placement.Present("p")["h2"].Evacuated {
+	if open() || !e.placement.HallEngines("p")["h2"].Evacuated {
 		t.Error("an engine in an evacuated hall is chosen or shown as serving")
 	}
 	if rows := e.evacuationRows(now.Add(time.Second)); len(rows) != 1 || rows[0].Name != "h2" || rows[0].AgeMs != 1000 {
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -70,7 +70,7 @@
 // had received by then, zero if there is none. The age of the peer's proof is counted from
 // received, which is on this node's clock and not later than the report.
 func (e *Edge) HandlePeerState(now time.Time, p gossip.NodeInfo, s gossip.State, received time.Time) {
-	e.placement.Peer(now, p.Name, s.Versions[platform.TableEngines], s.Loads, s.Uses)
+	e.placement.UpdatePeer(now, p.Name, s.Versions[platform.TableEngines], s.Loads, s.Uses)
 	e.dispatcher.SetPeerTierStats(now, p.Name, s.Places)
 	e.quarantine.MergeGossip(now, s.Crashing)
 	e.limits.MergeGossip(now, s.Limits)
--- a/internal/placement/present.go
+++ b/internal/placement/present.go
@@ -6,11 +6,11 @@
 	"github.com/croftturn/croftturn/internal/scaling"
 )
 
-// Present returns what each hall has of a pool.
-func (p *Placement) Present(pool string) map[string]scaling.Seen {
+// HallEngines counts a pool's engines by hall.
+func (p *Placement) HallEngines(pool string) map[string]scaling.HallState {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	out := map[string]scaling.Seen{}
+	out := map[string]scaling.HallState{}
 	for _, e := range p.engines {
 		if e.Pool != pool {
 			continue
@@ -18,11 +18,11 @@
 		h := out[e.Hall]
 		switch {
 		case e.Spot && e.Draining:
-			h.Leaving++
+			h.SpotDraining++
 		case e.Spot:
 			h.Spot++
 		case !e.Draining:
-			h.Staying++
+			h.OnDemand++
 		}
 		out[e.Hall] = h
 	}
@@ -34,19 +34,20 @@
 	return out
 }
 
-// noteWork counts how long an engine takes to read the prompt of a request that is sent, in milliseconds. The caller holds the
-// lock.
-func (p *Placement) noteWork(r Request, ms float64) {
+// addWork adds the estimated prefill time of a request, in milliseconds. The caller must hold
+// the lock.
+func (p *Placement) addWork(r Request, ms float64) {
 	w := p.work[r.Pool]
 	w.All += ms
-	if !r.Lowest {
+	if !r.LowestTier {
 		w.Upper += ms
 	}
 	p.work[r.Pool] = w
 }
 
-// Work returns, by pool, how many milliseconds of an engine the prompts take that this node has sent since its start.
-func (p *Placement) Work() map[string]scaling.Demand {
+// PrefillWork returns, by pool, the prefill time in milliseconds of all prompts that this node
+// has sent since its start.
+func (p *Placement) PrefillWork() map[string]scaling.Demand {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return maps.Clone(p.work)
--- a/internal/placement/present_test.go
+++ b/internal/placement/present_test.go
@@ -8,7 +8,8 @@
 	"github.com/croftturn/croftturn/internal/scaling"
 )
 
-// TestPresentAndWork holds how engines are counted by hall and kind, and that the work which a node sends counts.
+// TestPresentAndWork checks that engines are counted by hall and kind, and that the prefill work
+// of sent requests is added up.
 func TestPresentAndWork(t *testing.T) {
 	p, now := placement.New("a"), time.Unix(1000, 0)
 	for id, e := range map[string]placement.Engine{
@@ -17,11 +18,11 @@
 		e.ID, e.Pool, e.Slots = id, "p", 8
 		p.Set(e)
 	}
-	got := p.Present("p")
-	if want := (scaling.Seen{Staying: 1, Spot: 1}); got["a"] != want {
+	got := p.HallEngines("p")
+	if want := (scaling.HallState{OnDemand: 1, Spot: 1}); got["a"] != want {
 		t.Errorf("hall a: %+v, want %+v", got["a"], want)
 	}
-	if want := (scaling.Seen{Staying: 1, Leaving: 1}); got["b"] != want {
+	if want := (scaling.HallState{OnDemand: 1, SpotDraining: 1}); got["b"] != want {
 		t.Errorf("hall b: %+v, want %+v", got["b"], want)
 	}
 	r := placement.Request{Pool: "p", Prompt: placement.Prompt{Tokens: 5000}}
@@ -30,9 +31,9 @@
 		t.Fatal("no engine")
 	}
 	p.Start(now, choice, r)
-	once := p.Work()["p"].All
+	once := p.PrefillWork()["p"].All
 	p.Start(now, choice, r)
-	if twice := p.Work()["p"].All; once != 5000/choice.Read || twice != 2*once {
-		t.Errorf("5,000 tokens at %v a millisecond are %v ms, twice as many %v", choice.Read, once, twice)
+	if twice := p.PrefillWork()["p"].All; once != 5000/choice.PrefillRate || twice != 2*once {
+		t.Errorf("5,000 tokens at %v per millisecond took %v ms, twice as many %v", choice.PrefillRate, once, twice)
 	}
 }
--- a/internal/scaling/scaling_test.go
+++ b/internal/scaling/scaling_test.go
@@ -9,69 +9,69 @@
 
 var start = time.Unix(1000, 0)
 
-// step is the time between two looks of the holder.
+// step is the time between two decisions.
 const step = 250 * time.Millisecond
 
-// limits are those of a pool with three halls, where engines that may be taken away have a price.
+// limits returns the settings of a pool with three halls and a spot price.
 func limits(spot float64, boot time.Duration) Limits {
-	return Limits{Min: 1, Max: 40, Boot: boot, Spot: spot, Prices: map[string]float64{"a": 0.85, "b": 1.2, "c": 1}}
+	return Limits{Min: 1, Max: 40, BootTime: boot, SpotPrice: spot, HallPrices: map[string]float64{"a": 0.85, "b": 1.2, "c": 1}}
 }
 
-// site is a platform that starts and takes away engines.
-type site struct {
-	t       *testing.T
-	s       *Scaler
-	limits  Limits
-	now     time.Time
-	load    float64 // load is how many engines are kept busy.
-	upper   float64 // upper is how many of these are by tiers above the lowest.
-	want    map[kind]int
-	have    map[kind]int
-	starts  map[kind][]time.Time
-	dry     time.Time // dry is until when no engine that may be taken away can be had.
-	orders  int
-	price   float64 // price is what was paid, in seconds of an ordinary engine.
-	leastOf int     // leastOf is the least number of engines that served at once since it was reset.
+// fakePlatform simulates a platform that starts and reclaims engines.
+type fakePlatform struct {
+	t           *testing.T
+	s           *Scaler
+	limits      Limits
+	now         time.Time
+	load        float64 // number of engines kept busy
+	upper       float64 // part of load above the lowest tier
+	want        map[engineKind]int
+	have        map[engineKind]int
+	starts      map[engineKind][]time.Time
+	noSpotUntil time.Time // until when no spot engine is available
+	orders      int
+	cost        float64 // accumulated cost, in seconds of an on-demand engine
+	minServing  int     // minimum number of engines serving at once
 }
 
-// newSite returns a platform with some ordinary engines in each of three halls.
-func newSite(t *testing.T, l Limits, each int) *site {
-	x := &site{t: t, s: New("p"), limits: l, now: start, want: map[kind]int{}, have: map[kind]int{}, starts: map[kind][]time.Time{}, leastOf: 1 << 30}
-	for hall := range l.Prices {
-		x.want[kind{hall, false}], x.have[kind{hall, false}] = each, each
+// newFakePlatform returns a platform with some on-demand engines in each of three halls.
+func newFakePlatform(t *testing.T, l Limits, each int) *fakePlatform {
+	x := &fakePlatform{t: t, s: New("p"), limits: l, now: start, want: map[engineKind]int{}, have: map[engineKind]int{}, starts: map[engineKind][]time.Time{}, minServing: 1 << 30}
+	for hall := range l.HallPrices {
+		x.want[engineKind{hall, false}], x.have[engineKind{hall, false}] = each, each
 	}
 	return x
 }
 
-// seen returns what service discovery shows.
-func (x *site) seen() map[string]Seen {
-	out := map[string]Seen{}
-	for hall := range x.limits.Prices {
-		out[hall] = Seen{Staying: x.have[kind{hall, false}], Spot: x.have[kind{hall, true}]}
+// seen returns the state that service discovery shows.
+func (x *fakePlatform) seen() map[string]HallState {
+	out := map[string]HallState{}
+	for hall := range x.limits.HallPrices {
+		out[hall] = HallState{OnDemand: x.have[engineKind{hall, false}], Spot: x.have[engineKind{hall, true}]}
 	}
 	return out
 }
 
-// run lets some time pass.
-func (x *site) run(d time.Duration) {
+// run advances the simulation by a duration.
+func (x *fakePlatform) run(d time.Duration) {
 	for end := x.now.Add(d); x.now.Before(end); x.now = x.now.Add(step) {
-		x.s.Note(x.now, Demand{All: x.load, Upper: x.upper})
+		x.s.ObserveLoad(x.now, Demand{All: x.load, Upper: x.upper})
 		for _, o := range x.s.Decide(x.now, x.limits, x.seen()) {
-			x.take(o)
+			x.apply(o)
 		}
-		x.pass()
+		x.advance()
 	}
 }
 
-// take takes an order.
-func (x *site) take(o Order) {
+// apply processes an order.
+func (x *fakePlatform) apply(o Order) {
 	x.orders++
-	k := kind{o.Hall, o.Spot}
-	if o.Spot && x.now.Before(x.dry) && o.Count > x.have[k] {
-		x.s.Refused(x.now, o)
+	k := engineKind{o.Hall, o.Spot}
+	if o.Spot && x.now.Before(x.noSpotUntil) && o.Count > x.have[k] {
+		x.s.OrderRefused(x.now, o)
 		return
 	}
-	other := x.want[kind{o.Hall, !o.Spot}]
+	other := x.want[engineKind{o.Hall, !o.Spot}]
 	if o.Count < 0 || o.Count+other > x.limits.Max {
 		x.t.Errorf("%v: order %+v beside %d of the other kind", x.now.Sub(start), o, other)
 	}
@@ -79,39 +79,39 @@
 	x.have[k] = min(x.have[k], o.Count)
 	x.starts[k] = nil
 	for range o.Count - x.have[k] {
-		x.starts[k] = append(x.starts[k], x.now.Add(x.limits.Boot))
+		x.starts[k] = append(x.starts[k], x.now.Add(x.limits.BootTime))
 	}
-	x.s.Ordered(x.now, o)
+	x.s.OrderAccepted(x.now, o)
 }
 
-// pass starts engines and counts what they cost.
-func (x *site) pass() {
+// advance starts engines that have booted and adds up the cost.
+func (x *fakePlatform) advance() {
 	serving := 0
-	for hall, price := range x.limits.Prices {
+	for hall, price := range x.limits.HallPrices {
 		for _, spot := range []bool{false, true} {
-			k := kind{hall, spot}
+			k := engineKind{hall, spot}
 			for len(x.starts[k]) > 0 && !x.now.Before(x.starts[k][0]) {
 				x.starts[k] = x.starts[k][1:]
 				x.have[k]++
 			}
 			serving += x.have[k]
 			if spot {
-				price *= x.limits.Spot
+				price *= x.limits.SpotPrice
 			}
-			x.price += price * float64(x.have[k]) * step.Seconds()
+			x.cost += price * float64(x.have[k]) * step.Seconds()
 		}
 	}
-	x.leastOf = min(x.leastOf, serving)
+	x.minServing = min(x.minServing, serving)
 }
 
-// reclaim takes all engines of a hall away that may be, and none can be had for a while.
-func (x *site) reclaim(hall string, dry time.Duration) {
-	x.have[kind{hall, true}], x.starts[kind{hall, true}] = 0, nil
-	x.dry = x.now.Add(dry)
+// reclaim removes all spot engines of a hall and makes spot engines unavailable for a while.
+func (x *fakePlatform) reclaim(hall string, outage time.Duration) {
+	x.have[engineKind{hall, true}], x.starts[engineKind{hall, true}] = 0, nil
+	x.noSpotUntil = x.now.Add(outage)
 }
 
-// serving returns how many engines serve.
-func (x *site) serving() int {
+// serving returns the number of serving engines.
+func (x *fakePlatform) serving() int {
 	n := 0
 	for _, have := range x.have {
 		n += have
@@ -119,55 +119,58 @@
 	return n
 }
 
-// TestCheapEnginesReplaceOrdinaryOnes holds that where engines that may be taken away cost little, they take the place of ordinary
-// ones, that never fewer serve meanwhile than the operators began with, and that it then stays so.
-func TestCheapEnginesReplaceOrdinaryOnes(t *testing.T) {
-	x := newSite(t, limits(0.15, 4*time.Second), 20)
+// TestCheapSpotEnginesReplaceOnDemandOnes checks that cheap spot engines replace on-demand ones,
+// that never fewer engines serve meanwhile than the operators started with, and that the result
+// is stable.
+func TestCheapSpotEnginesReplaceOnDemandOnes(t *testing.T) {
+	x := newFakePlatform(t, limits(0.15, 4*time.Second), 20)
 	x.run(20 * time.Second)
-	if x.leastOf < 60 {
-		t.Errorf("only %d engines served meanwhile, of 60 at first", x.leastOf)
+	if x.minServing < 60 {
+		t.Errorf("only %d engines served meanwhile, initially 60", x.minServing)
 	}
 	for hall, seen := range x.seen() {
-		if seen.Staying > 3 || seen.Staying+seen.Spot != 40 {
-			t.Errorf("hall %s: %+v, want 40 and few ordinary ones", hall, seen)
+		if seen.OnDemand > 3 || seen.OnDemand+seen.Spot != 40 {
+			t.Errorf("hall %s: %+v, want 40 engines and few on-demand ones", hall, seen)
 		}
 	}
 	before := x.orders
 	x.load = 20
 	x.run(30 * time.Second)
 	if x.orders-before > 6 {
-		t.Errorf("%d orders in 30 s of an even load", x.orders-before)
+		t.Errorf("%d orders in 30 s of constant load", x.orders-before)
 	}
 }
 
-// TestLossOfAHallOrOfAll holds what serves once all engines that may be taken away have left one hall, or all halls, and
-// none can be had for ten seconds: what the load needs, after the time in which ordinary ones start.
-func TestLossOfAHallOrOfAll(t *testing.T) {
+// TestSpotLossInOneOrAllHalls checks that enough engines for the load serve, after the boot time
+// of on-demand ones, once all spot engines have left one hall or all halls and are unavailable
+// for ten seconds.
+func TestSpotLossInOneOrAllHalls(t *testing.T) {
 	for _, lost := range []int{1, 3} {
-		x := newSite(t, limits(0.15, 4*time.Second), 20)
+		x := newFakePlatform(t, limits(0.15, 4*time.Second), 20)
 		x.load = 25
 		x.run(30 * time.Second)
 		for _, hall := range []string{"a", "b", "c"}[:lost] {
 			x.reclaim(hall, 10*time.Second)
 		}
 		x.run(6 * time.Second)
-		if need := int(x.load / busyShort); x.serving() < need {
-			t.Errorf("%d halls: 6 s later %d engines serve, want %d", lost, x.serving(), need)
+		if need := int(x.load / maxUtilization); x.serving() < need {
+			t.Errorf("%d halls: %d engines serve after 6 s, want %d", lost, x.serving(), need)
 		}
 		x.run(25 * time.Second)
 		for hall, seen := range x.seen() {
-			if seen.Staying > 3 || seen.Spot < 35 {
-				t.Errorf("%d halls: 30 s later hall %s has %+v", lost, hall, seen)
+			if seen.OnDemand > 3 || seen.Spot < 35 {
+				t.Errorf("%d halls: hall %s has %+v after 30 s", lost, hall, seen)
 			}
 		}
 	}
 }
 
-// TestWhereTheyAreDear holds that where engines that may be taken away cost nearly as much, ordinary ones follow the load:
-// up at once, down not before a minute, and never by more orders than changes of the load.
-func TestWhereTheyAreDear(t *testing.T) {
+// TestOnDemandFollowsLoadWhereSpotIsExpensive checks that where spot engines cost nearly as
+// much, on-demand ones follow the load: up at once, down only after a minute, and with few
+// orders per change of the load.
+func TestOnDemandFollowsLoadWhereSpotIsExpensive(t *testing.T) {
 	for _, boot := range []time.Duration{4 * time.Second, 9 * time.Second} {
-		x := newSite(t, limits(0.9, boot), 20)
+		x := newFakePlatform(t, limits(0.9, boot), 20)
 		x.load = 10
 		x.run(30 * time.Second)
 		x.load = 30
@@ -178,7 +181,7 @@
 		x.load = 10
 		x.run(40 * time.Second)
 		if x.serving() < 75 {
-			t.Errorf("boot %v: the reserve is gone 40 s after the peak, %d engines", boot, x.serving())
+			t.Errorf("boot %v: only %d engines 40 s after the peak, the reserve is gone", boot, x.serving())
 		}
 		x.run(60 * time.Second)
 		if x.serving() > 40 {
@@ -186,7 +189,7 @@
 		}
 		for hall, seen := range x.seen() {
 			if seen.Spot > 0 {
-				t.Errorf("hall %s has %d dear engines that may be taken away", hall, seen.Spot)
+				t.Errorf("hall %s has %d expensive spot engines", hall, seen.Spot)
 			}
 		}
 		if x.orders > 24 {
@@ -195,93 +198,96 @@
 	}
 }
 
-// TestNothingIsOrderedBeforeTheEnginesAreKnown holds that a holder which does not know the engines yet orders nothing.
+// TestNothingIsOrderedBeforeTheEnginesAreKnown checks that a duty holder that has not seen any
+// engines orders nothing.
 func TestNothingIsOrderedBeforeTheEnginesAreKnown(t *testing.T) {
 	s := New("p")
 	l := limits(0.15, 4*time.Second)
 	for i := range 40 {
 		now := start.Add(time.Duration(i) * step)
-		if got := s.Decide(now, l, map[string]Seen{"a": {}, "b": {}, "c": {}}); len(got) > 0 {
+		if got := s.Decide(now, l, map[string]HallState{"a": {}, "b": {}, "c": {}}); len(got) > 0 {
 			t.Fatalf("ordered %+v with no engine known", got)
 		}
 	}
 }
 
-// TestOrdersOutliveTheHolder holds that a holder which knows what was ordered before does not order it again.
+// TestOrdersOutliveTheHolder checks that a new duty holder that knows the previous orders does
+// not repeat them.
 func TestOrdersOutliveTheHolder(t *testing.T) {
-	x := newSite(t, limits(0.15, 4*time.Second), 20)
+	x := newFakePlatform(t, limits(0.15, 4*time.Second), 20)
 	x.load = 25
 	x.run(30 * time.Second)
 	next := New("p")
-	for _, o := range x.s.All() {
+	for _, o := range x.s.Orders() {
 		next.Restore(x.now, o)
 	}
 	before := fmt.Sprint(x.want)
 	x.s, x.orders = next, 0
 	x.run(3 * time.Second)
 	if x.orders > 3 {
-		t.Errorf("%d orders of a new holder: %s, then %v", x.orders, before, x.want)
+		t.Errorf("a new duty holder sent %d orders: %s, then %v", x.orders, before, x.want)
 	}
 }
 
-// TestAllOrdersComeInOneOrder holds that what was ordered is always told in one order, also where both kinds have as many: it is
-// written to the store whenever it differs.
+// TestAllOrdersComeInOneOrder checks that orders are always listed in the same order, even if
+// both kinds have the same count: the list is written to the store whenever it differs.
 func TestAllOrdersComeInOneOrder(t *testing.T) {
 	s := New("p")
 	for _, hall := range []string{"b", "a"} {
 		for _, spot := range []bool{true, false} {
-			s.Ordered(start, Order{Pool: "p", Hall: hall, Spot: spot, Count: 20})
+			s.OrderAccepted(start, Order{Pool: "p", Hall: hall, Spot: spot, Count: 20})
 		}
 	}
-	first := fmt.Sprint(s.All())
+	first := fmt.Sprint(s.Orders())
 	for range 50 {
-		if got := fmt.Sprint(s.All()); got != first {
+		if got := fmt.Sprint(s.Orders()); got != first {
 			t.Fatalf("first %s, then %s", first, got)
 		}
 	}
 }
 
-// TestOtherHallsHoldWhatAnEvacuatedOneDid holds that the halls which are not evacuated get engines for the whole load at once,
-// that the evacuated one keeps its own, and that where all are evacuated nothing is ordered for it.
-func TestOtherHallsHoldWhatAnEvacuatedOneDid(t *testing.T) {
+// TestOtherHallsReplaceAnEvacuatedOne checks that the other halls get engines for the whole load
+// at once, and that the evacuated hall keeps its own without new orders.
+func TestOtherHallsReplaceAnEvacuatedOne(t *testing.T) {
 	s := New("p")
-	halls := map[string]Seen{"a": {Staying: 12}, "b": {Staying: 12}, "c": {Staying: 12}}
+	halls := map[string]HallState{"a": {OnDemand: 12}, "b": {OnDemand: 12}, "c": {OnDemand: 12}}
 	now := start
 	decide := func() (orders []Order) {
-		for end := now.Add(2 * firstFor); now.Before(end); now = now.Add(step) {
-			s.Note(now, Demand{All: 10})
+		for end := now.Add(2 * initialStableTime); now.Before(end); now = now.Add(step) {
+			s.ObserveLoad(now, Demand{All: 10})
 			for _, o := range s.Decide(now, limits(1, 4*time.Second), halls) {
-				s.Ordered(now, o)
+				s.OrderAccepted(now, o)
 				orders = append(orders, o)
 			}
 		}
 		return orders
 	}
 	before := decide()
-	halls["b"] = Seen{Staying: 12, Evacuated: true}
+	halls["b"] = HallState{OnDemand: 12, Evacuated: true}
 	count := map[string]int{}
 	for _, o := range decide() {
 		count[o.Hall] = o.Count
 	}
-	want := int(math.Ceil(reserveLeast * 36 / 2))
+	want := int(math.Ceil(minReserve * 36 / 2))
 	if _, ordered := count["b"]; ordered || count["a"] != want || count["c"] != want {
 		t.Errorf("ordered %v after %v, want %d in a and in c each, and none changed in b", count, before, want)
 	}
 }
 
-// TestOrdinaryEnginesReadWhatIsAboveTheLowestTier holds that as many ordinary engines are there as read the prompts of all tiers
-// but the lowest, where all others are taken away at once, and no more of them than a small share where there is one tier.
-func TestOrdinaryEnginesReadWhatIsAboveTheLowestTier(t *testing.T) {
+// TestOnDemandEnginesCarryTiersAboveTheLowest checks that there are enough on-demand engines for
+// the prompts of all tiers but the lowest if all spot engines leave at once, and hardly more
+// than the minimum share if there is only one tier.
+func TestOnDemandEnginesCarryTiersAboveTheLowest(t *testing.T) {
 	for _, upper := range []float64{0, 6} {
-		x := newSite(t, limits(0.18, 4*time.Second), 10)
+		x := newFakePlatform(t, limits(0.18, 4*time.Second), 10)
 		x.load, x.upper = 20, upper
 		x.run(90 * time.Second)
-		staying := 0
-		for hall := range x.limits.Prices {
-			staying += x.have[kind{hall, false}]
+		onDemand := 0
+		for hall := range x.limits.HallPrices {
+			onDemand += x.have[engineKind{hall, false}]
 		}
-		if least := upper; float64(staying) < least || float64(staying) > least+6 {
-			t.Errorf("%d ordinary engines, want %.0f or few more for what is above the lowest tier", staying, math.Ceil(least))
+		if least := upper; float64(onDemand) < least || float64(onDemand) > least+6 {
+			t.Errorf("%d on-demand engines, want %.0f or slightly more for the tiers above the lowest", onDemand, math.Ceil(least))
 		}
 	}
 }
