--- a/internal/feed/bundle.go
+++ b/internal/feed/bundle.go
@@ -8,74 +8,73 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// bundledMost bounds the rows of a bundle before they are packed, in bytes: a thousand times the entry of
-// an engine is 0.25 MB, and large values in it are packed already.
-const bundledMost = 16 << 20
+// maxBundleBytes limits the decompressed size of a bundle. A thousand engine entries take 0.25 MB, and
+// large values among them are compressed already.
+const maxBundleBytes = 16 << 20
 
-// bundle is an answer of many rows, packed together once and passed on as it is until a row changes.
+// bundle is a cached reply whose rows are compressed together; it is reused until a row changes.
 //
-// It is for tables of many small rows, of which all nodes take all at a start. 3,000 engines are 0.62 MB, which became
-// 0.83 MB on the way. A node with 10 Mbit/s sent three of them in two seconds, so that the last of 299 nodes that
-// were killed together had them 6.3 s after its start; until then it refused what reached it.
+// It serves tables of many small rows, which every node fetches in full when it starts. 3,000 engines take
+// 0.62 MB, or 0.83 MB encoded. A node with a 10 Mbit/s link sent three such replies in two seconds, so the last
+// of 299 nodes killed together had the table 6.3 s after its start and refused requests until then.
 type bundle struct {
-	after   int64 // after is the version that the asking node had; -1 for none.
-	changes int64 // changes is how often the table had changed.
-	reply   *TableReply
+	after      int64 // after is the requester's version; -1 for none.
+	generation int64 // generation is the table's change count when the reply was built.
+	reply      *TableReply
 }
 
-// bundled returns what changed in the table after a version, or the whole table, as one packed piece where it
-// is large.
-func (t *Table) bundled(after int64) (*TableReply, error) {
-	t.bundling.Lock()
-	defer t.bundling.Unlock()
+// bundledSince returns the changes after a version, or the full table, compressed as one bundle if it is large.
+func (t *Table) bundledSince(after int64) (*TableReply, error) {
+	t.bundleMu.Lock()
+	defer t.bundleMu.Unlock()
 	t.mu.Lock()
-	count := t.changes
+	count := t.generation
 	t.mu.Unlock()
-	if b := t.bundle; b.reply != nil && b.after == after && b.changes == count {
+	if b := t.bundle; b.reply != nil && b.after == after && b.generation == count {
 		return b.reply, nil
 	}
-	reply, err := changes(t, after)
-	if err != nil || size(reply.Rows) < largeAnswer {
+	reply, err := changesSince(t, after)
+	if err != nil || payloadSize(reply.Rows) < largeReplyBytes {
 		return reply, err
 	}
 	plain, err := cbor.Marshal(reply.Rows)
 	if err != nil {
 		return nil, fmt.Errorf("encode rows: %w", err)
 	}
-	packed, err := zip(plain, gzip.BestSpeed)
+	compressed, err := gzipBytes(plain, gzip.BestSpeed)
 	if err != nil {
 		return nil, fmt.Errorf("pack rows: %w", err)
 	}
-	reply.Rows, reply.Bundle = nil, packed
-	t.bundle = bundle{after: after, changes: count, reply: reply}
+	reply.Rows, reply.Bundle = nil, compressed
+	t.bundle = bundle{after: after, generation: count, reply: reply}
 	return reply, nil
 }
 
-// replaceAs takes the whole table from a peer's answer. Where there was nothing before, the answer is what
-// this node tells the next one: it need not be packed again.
-func (t *Table) replaceAs(now time.Time, rows []PeerRow, reply *TableReply) {
-	t.bundling.Lock()
-	defer t.bundling.Unlock()
+// replaceFromReply replaces the table with a peer's full reply. If the table was empty before, the reply's
+// bundle is reused for other peers without being compressed again.
+func (t *Table) replaceFromReply(now time.Time, rows []PeerRow, reply *TableReply) {
+	t.bundleMu.Lock()
+	defer t.bundleMu.Unlock()
 	wasEmpty, count := t.replace(now, rows, reply.Last)
 	if wasEmpty && reply.Bundle != nil {
-		t.bundle = bundle{after: -1, changes: count, reply: reply}
+		t.bundle = bundle{after: -1, generation: count, reply: reply}
 	}
 }
 
-// unpack returns the rows of an answer, with their values.
-func (r *TableReply) unpack() ([]PeerRow, error) {
+// decodeRows returns the rows of a reply with their values decompressed.
+func (r *TableReply) decodeRows() ([]PeerRow, error) {
 	rows := r.Rows
 	if r.Bundle != nil {
-		plain, err := unzip(r.Bundle, bundledMost)
+		plain, err := gunzipBytes(r.Bundle, maxBundleBytes)
 		if err != nil {
-			return nil, fmt.Errorf("unpack rows: %w", err)
+			return nil, fmt.Errorf("decompress rows: %w", err)
 		}
 		if err := cbor.Unmarshal(plain, &rows); err != nil {
 			return nil, fmt.Errorf("decode rows: %w", err)
 		}
 	}
-	return unpackAll(rows)
+	return decompressRows(rows)
 }
 
-// size returns how many bytes an answer takes on its way, but for the names in it.
-func (r *TableReply) size() int { return size(r.Rows) + len(r.Bundle) }
+// payloadSize returns the payloadSize of a reply's values in bytes, without its names.
+func (r *TableReply) payloadSize() int { return payloadSize(r.Rows) + len(r.Bundle) }
--- a/internal/feed/bundle_test.go
+++ b/internal/feed/bundle_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestABundleIsPackedOnceAndPassedOn holds that an answer of many rows is packed once until a row changes, that who takes it passes on
-// the same bytes, and that a few rows and older programs' answers are not packed.
-func TestABundleIsPackedOnceAndPassedOn(t *testing.T) {
+// TestBundleIsCompressedOnceAndReused checks that a reply of many rows is compressed once until a row changes, that
+// the node which receives it forwards the same bytes, and that small replies and those to older peers have no bundle.
+func TestBundleIsCompressedOnceAndReused(t *testing.T) {
 	now := time.Unix(1000, 0)
 	rows := func(n int) []Row {
 		out := make([]Row, n)
@@ -24,39 +24,39 @@
 		t.Fatalf("300 rows of 100 bytes became %d bytes", len(first))
 	}
 	if again := bundleOf(t, from, -1); &again[0] != &first[0] {
-		t.Error("the same answer is packed twice")
+		t.Error("the same reply is compressed twice")
 	}
-	reply, err := from.bundled(-1)
+	reply, err := from.bundledSince(-1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	taken, err := reply.unpack()
-	if err != nil || len(taken) != 300 {
-		t.Fatalf("%d rows, %v", len(taken), err)
+	received, err := reply.decodeRows()
+	if err != nil || len(received) != 300 {
+		t.Fatalf("%d rows, %v", len(received), err)
 	}
-	to.replaceAs(now, taken, reply)
-	if passed := bundleOf(t, to, -1); &passed[0] != &first[0] {
-		t.Error("what was taken is packed again to be passed on")
+	to.replaceFromReply(now, received, reply)
+	if forwarded := bundleOf(t, to, -1); &forwarded[0] != &first[0] {
+		t.Error("a received bundle is compressed again")
 	}
 	to.Change(now, []Row{{Table: "t", Key: "k0", Value: noisy(90), Version: 301}})
 	if changed := bundleOf(t, to, -1); &changed[0] == &first[0] {
-		t.Error("a row has changed, and the bundle has not")
+		t.Error("the bundle is unchanged after a row changed")
 	}
 	if few := bundleOf(t, to, 300); few != nil {
-		t.Error("one row is packed")
+		t.Error("a reply of one row has a bundle")
 	}
-	if _, err := (&TableReply{Bundle: first[:len(first)/2]}).unpack(); err == nil {
-		t.Error("half a bundle is taken")
+	if _, err := (&TableReply{Bundle: first[:len(first)/2]}).decodeRows(); err == nil {
+		t.Error("a truncated bundle is accepted")
 	}
-	if plain, err := answer(from, &TableRequest{Table: "t", After: -1, Packed: true}); err != nil || plain.Bundle != nil || len(plain.Rows) != 300 {
-		t.Errorf("an older program gets %d rows, %v", len(plain.Rows), err)
+	if plain, err := buildReply(from, &TableRequest{Table: "t", After: -1, Packed: true}); err != nil || plain.Bundle != nil || len(plain.Rows) != 300 {
+		t.Errorf("an older peer gets %d rows, %v", len(plain.Rows), err)
 	}
 }
 
-// bundleOf returns the packed rows of an answer, nil where they are told as they are.
+// bundleOf returns the bundle of a reply; nil if its rows are sent individually.
 func bundleOf(t *testing.T, table *Table, after int64) []byte {
 	t.Helper()
-	reply, err := table.bundled(after)
+	reply, err := table.bundledSince(after)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/feed/export_test.go
+++ b/internal/feed/export_test.go
@@ -1,4 +1,4 @@
 package feed
 
-// Wait waits until no call is in flight.
+// Wait waits until no fetch is in flight.
 func (f *Follower) Wait() { f.wg.Wait() }
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -1,6 +1,6 @@
-// Package feed keeps a copy of some of the platform's tables. A few nodes read
-// changes from the platform; the others take them from any node that has them.
-// A row is only ever replaced by a newer one, whichever way it comes.
+// Package feed replicates some of the platform's tables to every node. A few
+// nodes read changes from the platform; the others fetch them from any peer that
+// has them. A row is only ever replaced by a newer version, whatever its source.
 package feed
 
 import (
@@ -10,16 +10,16 @@
 )
 
 var (
-	// ErrHistoryGone says that changes since a version are no longer known.
+	// ErrHistoryGone reports that the changes since a version are no longer available.
 	ErrHistoryGone = errors.New("feed: history of the table is gone")
 
-	// ErrConflict says that a row has another version; nothing was written.
+	// ErrConflict reports that a row does not have the expected version; nothing was written.
 	ErrConflict = errors.New("feed: a row has another version")
 
-	// ErrUnavailable says that the store did not do what was asked.
+	// ErrUnavailable reports that the store did not carry out a request.
 	ErrUnavailable = errors.New("feed: store not available")
 
-	// ErrUncertain says that a write may have taken effect, or may still do so.
+	// ErrUncertain reports that a write may have taken effect, or may still do so.
 	ErrUncertain = errors.New("feed: the write may have taken effect")
 )
 
@@ -31,30 +31,30 @@
 		Key     string `json:"k"`
 		Value   []byte `json:"v,omitempty"`
 		Version int64  `json:"r"`           // Version comes from one counter over all tables.
-		Deleted bool   `json:"d,omitempty"` // Deleted rows stand only among changes.
+		Deleted bool   `json:"d,omitempty"` // Deleted marks a deletion; only changes contain deleted rows.
 	}
 
-	// Snapshot is an answer about a table.
+	// Snapshot is the store's reply to a List or Changes call.
 	Snapshot struct {
 		Rows    []Row
-		Version int64     // Version is the newest of all tables at the time of the answer.
-		AsOf    time.Time // AsOf is a local moment, on the steady clock, at which the answer was true.
+		Version int64     // Version is the newest version of all tables at the time of the reply.
+		AsOf    time.Time // AsOf is a local monotonic time at which the reply was current.
 	}
 
-	// Tx is a transaction: it is written whole or not at all.
+	// Tx is an atomic transaction.
 	Tx struct {
-		Expect []Row // Expect names rows with the version they must have; 0 for absent.
+		Expect []Row // Expect lists rows with their required versions; 0 means absent.
 		Put    []Row
 		Delete []Row
 	}
 
-	// ConflictError names the rows that have other versions, as they are now.
+	// ConflictError holds the current state of the rows whose versions did not match.
 	ConflictError struct {
 		Rows []Row
 	}
 )
 
-// Error describes the conflict.
+// Error implements error.
 func (e *ConflictError) Error() string { return fmt.Sprintf("%v: %d rows", ErrConflict, len(e.Rows)) }
 
 // Is makes errors.Is(err, ErrConflict) true.
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -20,11 +20,11 @@
 	quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
 )
 
-// sink keeps what a table hands on, as a consumer would.
+// sink is a consumer that records the rows it receives.
 type sink struct {
-	mu   sync.Mutex
-	rows map[string]feed.Row
-	back int // back counts rows that came older than one before
+	mu    sync.Mutex
+	rows  map[string]feed.Row
+	stale int // stale counts rows no newer than the one received before
 }
 
 func (s *sink) take(_ time.Time, rows []feed.Row) {
@@ -35,13 +35,13 @@
 	}
 	for _, r := range rows {
 		if r.Version <= s.rows[r.Key].Version {
-			s.back++
+			s.stale++
 		}
 		s.rows[r.Key] = r
 	}
 }
 
-// live returns the values of rows that are not deleted.
+// live returns the values of the rows that are not deleted.
 func (s *sink) live() map[string]string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -58,9 +58,9 @@
 	return feed.Row{Table: "t", Key: key, Value: []byte(value), Version: version}
 }
 
-// TestNothingGoesBack holds that older rows, in whatever order and by whichever
-// way they come, never replace newer ones.
-func TestNothingGoesBack(t *testing.T) {
+// TestOlderRowsNeverReplaceNewer checks that an older row never replaces a newer
+// one, whatever the order and the method of the update.
+func TestOlderRowsNeverReplaceNewer(t *testing.T) {
 	s := &sink{}
 	table := feed.NewTable("t", s.take)
 	table.Replace(start, feed.Snapshot{Rows: []feed.Row{row("a", "1", 1), row("b", "1", 2)}, Version: 5})
@@ -69,14 +69,14 @@
 	table.Change(start, []feed.Row{{Table: "t", Key: "b", Version: 8, Deleted: true}})
 	table.Change(start, []feed.Row{row("b", "1", 2)})
 	table.Replace(start, feed.Snapshot{Rows: []feed.Row{row("a", "1", 1)}, Version: 6})
-	if got := s.live(); len(got) != 1 || got["a"] != "3" || s.back > 0 {
-		t.Errorf("got %v, %d went back", got, s.back)
+	if got := s.live(); len(got) != 1 || got["a"] != "3" || s.stale > 0 {
+		t.Errorf("got %v, %d stale rows", got, s.stale)
 	}
 }
 
-// TestWholeTableDropsWhatItLacks holds that a row deleted while history was lost
-// is dropped, and one written since is kept.
-func TestWholeTableDropsWhatItLacks(t *testing.T) {
+// TestReplaceDropsMissingRows checks that Replace drops a row that was deleted while
+// history was lost, and keeps one written since.
+func TestReplaceDropsMissingRows(t *testing.T) {
 	s := &sink{}
 	table := feed.NewTable("t", s.take)
 	table.Replace(start, feed.Snapshot{Rows: []feed.Row{row("a", "1", 1), row("b", "1", 2)}, Version: 3})
@@ -87,10 +87,10 @@
 	}
 }
 
-// direct lets followers call each other without a network.
-type direct map[string]*feed.Follower
+// directCaller calls followers without a network.
+type directCaller map[string]*feed.Follower
 
-func (d direct) Call(ctx context.Context, address, _ string, params, result any) error {
+func (d directCaller) Call(ctx context.Context, address, _ string, params, result any) error {
 	f := d[address]
 	if f == nil {
 		return errors.New("not there")
@@ -106,12 +106,12 @@
 	return json.Unmarshal(text, result)
 }
 
-// TestFollowersConverge holds that nodes which hear of versions only from each
-// other, some of them from late starters, end with the same table, for 30 seeds.
+// TestFollowersConverge checks for 30 seeds that nodes which learn of versions only
+// from each other, including nodes without the table yet, end with the same table.
 func TestFollowersConverge(t *testing.T) {
 	for seed := range uint64(30) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
-		net := direct{}
+		net := directCaller{}
 		var tables []*feed.Table
 		var sinks []*sink
 		for i := range 5 {
@@ -133,57 +133,59 @@
 				truth[key] = fmt.Sprint(step)
 				tables[0].Change(start, []feed.Row{row(key, fmt.Sprint(step), version)})
 			}
-			hear(net, rnd.IntN(5), rnd.IntN(5))
+			deliverVersions(net, rnd.IntN(5), rnd.IntN(5))
 		}
 		for range 5 {
 			for i := range 5 {
-				hear(net, 0, i)
+				deliverVersions(net, 0, i)
 			}
 		}
 		for i, s := range sinks {
-			if got := s.live(); fmt.Sprint(got) != fmt.Sprint(truth) || s.back > 0 {
-				t.Errorf("seed %d: node %d has %v, want %v; %d went back", seed, i, got, truth, s.back)
+			if got := s.live(); fmt.Sprint(got) != fmt.Sprint(truth) || s.stale > 0 {
+				t.Errorf("seed %d: node %d has %v, want %v; %d stale rows", seed, i, got, truth, s.stale)
 			}
 		}
 	}
 }
 
-// hear lets one node hear another's versions, and waits for what it asks for.
-func hear(net direct, from, to int) {
+// deliverVersions tells one node another's versions and waits for its fetches.
+func deliverVersions(net directCaller, from, to int) {
 	f := net[fmt.Sprint(to)]
 	f.Heard(fmt.Sprint(from), net[fmt.Sprint(from)].Versions())
 	f.Wait()
 }
 
-// script is a source whose answers a test writes.
-type script struct {
+// scriptedSource is a source whose replies are set by a test.
+type scriptedSource struct {
 	mu    sync.Mutex
 	calls []string
-	next  func(call string) (feed.Snapshot, error)
+	reply func(call string) (feed.Snapshot, error)
 }
 
-func (s *script) say(call string) (feed.Snapshot, error) {
+func (s *scriptedSource) call(call string) (feed.Snapshot, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls = append(s.calls, call)
-	return s.next(call)
+	return s.reply(call)
 }
 
-func (s *script) List(context.Context, string, string) (feed.Snapshot, error) { return s.say("list") }
+func (s *scriptedSource) List(context.Context, string, string) (feed.Snapshot, error) {
+	return s.call("list")
+}
 
-func (s *script) Changes(_ context.Context, _ string, after int64, _ time.Duration) (feed.Snapshot, error) {
-	return s.say(fmt.Sprint("after ", after))
+func (s *scriptedSource) Changes(_ context.Context, _ string, after int64, _ time.Duration) (feed.Snapshot, error) {
+	return s.call(fmt.Sprint("after ", after))
 }
 
-// TestReaderRereadsLostHistory holds that after the history is gone the table is
-// read whole, an engine dropped in the gap is dropped, and the proof is renewed
-// only by answers.
+// TestReaderRereadsLostHistory checks that the reader lists the full table after
+// history is gone, that a row deleted in the gap is dropped, and that Proven is
+// called only for successful calls.
 func TestReaderRereadsLostHistory(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &sink{}
-	proofs, lost := 0, 0
-	source := &script{}
-	source.next = func(call string) (feed.Snapshot, error) {
+	successes, failures := 0, 0
+	source := &scriptedSource{}
+	source.reply = func(call string) (feed.Snapshot, error) {
 		switch len(source.calls) {
 		case 1:
 			return feed.Snapshot{Rows: []feed.Row{row("a", "1", 1), row("b", "1", 2)}, Version: 4}, nil
@@ -199,27 +201,27 @@
 	}
 	r := &feed.Reader{
 		Table: feed.NewTable("t", s.take), Source: source, Wanted: func(time.Time) bool { return true },
-		Proven: func(time.Time) { proofs++ }, Lost: func(time.Time) { lost++ }, Log: quiet,
+		Proven: func(time.Time) { successes++ }, Lost: func(time.Time) { failures++ }, Log: quiet,
 	}
 	r.Run(ctx)
 	if got := fmt.Sprint(source.calls); got != "[list after 4 list list after 9]" {
 		t.Errorf("calls %s", got)
 	}
-	if got := s.live(); len(got) != 1 || got["a"] != "2" || lost != 1 || proofs != 3 {
-		t.Errorf("got %v, lost %d, proofs %d", got, lost, proofs)
+	if got := s.live(); len(got) != 1 || got["a"] != "2" || failures != 1 || successes != 3 {
+		t.Errorf("got %v, %d failures, %d successes", got, failures, successes)
 	}
 }
 
-// TestDeletionsInALostHistoryReachPeers holds that a node which read its table anew
-// does not keep from its peers a deletion that it never saw itself.
-func TestDeletionsInALostHistoryReachPeers(t *testing.T) {
+// TestDeletionsInLostHistoryReachPeers checks that a node which reread its full table
+// passes on to its peers a deletion that it never saw itself.
+func TestDeletionsInLostHistoryReachPeers(t *testing.T) {
 	mine, theirs := &sink{}, &sink{}
 	a, b := feed.NewTable("t", mine.take), feed.NewTable("t", theirs.take)
 	a.Replace(start, feed.Snapshot{Rows: []feed.Row{row("x", "1", 1)}, Version: 1})
 	b.Replace(start, feed.Snapshot{Rows: []feed.Row{row("x", "1", 1)}, Version: 1})
 	b.Change(start, []feed.Row{row("y", "1", 5)}) // Only the peer saw y before it was deleted.
 	a.Replace(start, feed.Snapshot{Rows: []feed.Row{row("x", "2", 9)}, Version: 9})
-	net := direct{"a": feed.NewFollower("a", direct{}, quiet, a)}
+	net := directCaller{"a": feed.NewFollower("a", directCaller{}, quiet, a)}
 	f := feed.NewFollower("b", net, quiet, b)
 	f.Heard("a", map[string]int64{"t": 9})
 	f.Wait()
@@ -228,14 +230,14 @@
 	}
 }
 
-// TestChangesAreGathered holds that changes which come one after another are fetched
-// in few calls, and that the last of them is.
-func TestChangesAreGathered(t *testing.T) {
+// TestChangesAreBatched checks that changes in quick succession are fetched in few
+// calls, and that the last of them is fetched.
+func TestChangesAreBatched(t *testing.T) {
 	const changes = 40
 	ctx, cancel := context.WithCancel(context.Background())
 	begin := time.Now()
-	source := &script{}
-	source.next = func(call string) (feed.Snapshot, error) {
+	source := &scriptedSource{}
+	source.reply = func(call string) (feed.Snapshot, error) {
 		newest := min(1+int64(time.Since(begin)/(5*time.Millisecond)), changes) // One change each 5 ms.
 		if newest == changes {
 			cancel()
--- a/internal/feed/follower.go
+++ b/internal/feed/follower.go
@@ -14,27 +14,27 @@
 )
 
 const (
-	// MethodTable is the peers' method that takes a table request.
+	// MethodTable is the peer method that takes a TableRequest.
 	MethodTable = "table"
 
-	// pullTimeout bounds one such call, as the store's longest answer needs over a link of
-	// 10 Mbit/s; what ends a call to a peer that says nothing is PullSilence.
+	// pullTimeout limits one such call to the time that the store's largest reply takes over a
+	// 10 Mbit/s link. PullSilence ends a call to a silent peer.
 	pullTimeout = 7 * time.Second
 
-	// PullSilence is how long a peer may say nothing in such a call: twice what a call may wait
-	// for its turn there. A pull is not ended for its length, since what has come of it would
-	// have to be sent again: with a bound of one second, pulls of 0.75 MB from small nodes failed 454
-	// times in 10 s, and kept those nodes busy.
+	// PullSilence is how long a peer may send nothing during such a call: twice the time that a
+	// call may wait there for a reply slot. A slow pull is not cut short, since all of it would have
+	// to be sent again: with a limit of one second, pulls of 0.75 MB from small nodes failed 454
+	// times in 10 s and kept those nodes busy.
 	PullSilence = 500 * time.Millisecond
 
-	// busyPause is the usual pause after a peer that answers others first: one answer of 80 KB
-	// takes 66 ms over 10 Mbit/s, and the next turn is free then.
-	busyPause = 50 * time.Millisecond
+	// busyRetryDelay is the typical delay after a busy reply: a reply of 80 KB takes 66 ms over
+	// 10 Mbit/s, after which a reply slot is free.
+	busyRetryDelay = 50 * time.Millisecond
 
-	// slowPull and largePull are from when on a pull that ended well has a line in the log:
-	// the usual one takes a few milliseconds and brings some engines.
-	slowPull  = 250 * time.Millisecond
-	largePull = 64 << 10
+	// slowPull and largePullBytes are the thresholds from which a successful pull is logged;
+	// a typical one takes a few milliseconds and carries a few engines.
+	slowPull       = 250 * time.Millisecond
+	largePullBytes = 64 << 10
 )
 
 type (
@@ -43,28 +43,28 @@
 		Call(ctx context.Context, address, method string, params, result any) error
 	}
 
-	// TableRequest asks a peer for what changed in a table.
+	// TableRequest asks a peer for the changes in a table.
 	TableRequest struct {
 		Table  string `json:"t"`
-		After  int64  `json:"a"`           // After is the version that the asking node has; -1 for the whole table.
-		Packed bool   `json:"p,omitempty"` // Packed says that it takes packed rows; older programs do not.
-		Bundle bool   `json:"b,omitempty"` // Bundle says that it takes rows packed together; older programs do not.
-		Asker  string `json:"f,omitempty"` // Asker is the asking node's address, where others may ask it later.
+		After  int64  `json:"a"`           // After is the requester's version; -1 for the full table.
+		Packed bool   `json:"p,omitempty"` // Packed is set if the requester accepts compressed rows; older peers do not.
+		Bundle bool   `json:"b,omitempty"` // Bundle is set if the requester accepts a bundle; older peers do not.
+		Asker  string `json:"f,omitempty"` // Asker is the requester's address, to which later requesters may be redirected.
 	}
 
-	// TableReply is what a peer has.
+	// TableReply is a peer's reply to a TableRequest.
 	TableReply struct {
 		Rows   []PeerRow `json:"r,omitempty"`
-		Bundle []byte    `json:"z,omitempty"` // Bundle holds the rows, packed together, in place of Rows.
+		Bundle []byte    `json:"z,omitempty"` // Bundle holds the rows, compressed together, in place of Rows.
 		Last   int64     `json:"l"`           // Last is the newest version among the peer's rows.
-		Whole  bool      `json:"w,omitempty"` // Whole says that Rows is the whole table.
-		Busy   bool      `json:"b,omitempty"` // Busy says that others are answered first; Rows is empty.
-		Others []string  `json:"o,omitempty"` // Others are addresses of nodes that a busy peer has answered.
+		Whole  bool      `json:"w,omitempty"` // Whole is set if the reply holds the full table.
+		Busy   bool      `json:"b,omitempty"` // Busy is set if the peer has no reply slot free; Rows is empty.
+		Others []string  `json:"o,omitempty"` // Others are addresses of nodes to which a busy peer has sent the table.
 	}
 
-	// Follower takes tables from peers that tell of newer versions.
+	// Follower fetches tables from peers that announce newer versions.
 	Follower struct {
-		self   string // self is where peers reach this node.
+		self   string // self is the address at which peers reach this node.
 		caller Caller
 		log    *slog.Logger
 		wg     sync.WaitGroup
@@ -73,40 +73,40 @@
 
 		mu      sync.Mutex
 		tables  map[string]*Table
-		sources map[string]map[string]int64 // sources are, by table that is being asked for, the peers to ask and what they have.
-		turns   *turns
+		sources map[string]map[string]int64 // sources holds, for each table being fetched, the candidate peers and their versions.
+		limiter *replyLimiter
 
-		given, taken, failed atomic.Int64
+		served, fetched, failed atomic.Int64
 	}
 
-	// Pulls counts tables that were asked for between peers.
+	// Pulls counts table transfers between peers.
 	Pulls struct {
-		Given  int64 // Given counts answers to peers.
-		Taken  int64 // Taken counts answers of peers that were taken.
-		Failed int64 // Failed counts calls to peers that brought none.
+		Given  int64 // Given counts tables sent to peers.
+		Taken  int64 // Taken counts tables received from peers.
+		Failed int64 // Failed counts failed fetches.
 	}
 )
 
-// busyError says that a peer answers others first.
+// busyError reports that a peer has no reply slot free.
 type busyError struct {
-	version int64    // version is what the peer has.
-	others  []string // others have it, too.
+	version int64    // version is the peer's version of the table.
+	holders []string // holders have that version, too.
 }
 
-// Error describes it.
-func (e *busyError) Error() string { return "the peer answers others first" }
+// Error implements error.
+func (e *busyError) Error() string { return "peer is busy with other replies" }
 
-// NewFollower returns a follower of some tables; self is the address at which peers call it.
+// NewFollower returns a follower of the given tables; self is the address at which peers call it.
 func NewFollower(self string, caller Caller, log *slog.Logger, tables ...*Table) *Follower {
 	ctx, cancel := context.WithCancel(context.Background())
-	f := &Follower{self: self, caller: caller, log: log, ctx: ctx, cancel: cancel, tables: map[string]*Table{}, sources: map[string]map[string]int64{}, turns: newTurns()}
+	f := &Follower{self: self, caller: caller, log: log, ctx: ctx, cancel: cancel, tables: map[string]*Table{}, sources: map[string]map[string]int64{}, limiter: newReplyLimiter()}
 	for _, t := range tables {
 		f.tables[t.Name()] = t
 	}
 	return f
 }
 
-// Versions returns the newest version in the copy of each table that is whole.
+// Versions returns the latest version of each table that is loaded.
 func (f *Follower) Versions() map[string]int64 {
 	out := map[string]int64{}
 	for name, t := range f.tables {
@@ -117,7 +117,7 @@
 	return out
 }
 
-// Heard takes what a peer told of its versions, and asks it for what is newer.
+// Heard starts a fetch of each table of which the peer announces a newer version.
 func (f *Follower) Heard(address string, versions map[string]int64) {
 	for name, theirs := range versions {
 		t := f.tables[name]
@@ -131,8 +131,8 @@
 	}
 }
 
-// pull asks a peer for a table; while the table is being asked for already, the peer
-// is kept as another that can be asked.
+// pull starts fetching a table from a peer. If a fetch is running already, the peer is
+// added to its candidates.
 func (f *Follower) pull(address string, t *Table, theirs int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -153,38 +153,37 @@
 	}()
 }
 
-// pullOnce asks one of the peers that have something newer of a table, and reports
-// whether there may be another to ask. One that failed is asked again when it tells of its
-// tables the next time.
+// pullOnce fetches a table from one of the peers with a newer version and reports whether
+// to continue. A peer that failed is asked again after its next announcement.
 func (f *Follower) pullOnce(t *Table) bool {
-	address, ok := f.source(t)
+	address, ok := f.nextSource(t)
 	if !ok {
 		return false
 	}
 	begin := clock.Now()
-	err := f.ask(address, t, begin)
+	err := f.fetch(address, t, begin)
 	var busy *busyError
 	switch {
 	case errors.As(err, &busy):
-		f.addSources(t, busy.version, append(busy.others, address))
-		pause.Spread(f.ctx, busyPause)
+		f.addSources(t, busy.version, append(busy.holders, address))
+		pause.Spread(f.ctx, busyRetryDelay)
 	case err != nil && f.ctx.Err() == nil:
 		f.failed.Add(1)
-		f.log.Warn("table not taken from peer", "table", t.Name(), "peer_address", address, "ms", clock.Since(begin).Milliseconds(), "error", err.Error())
+		f.log.Warn("failed to fetch table from peer", "table", t.Name(), "peer_address", address, "ms", clock.Since(begin).Milliseconds(), "error", err.Error())
 	}
 	return true
 }
 
-// source takes out a peer, by chance, of those that have something newer of a table. Where
-// there is none, the table is no longer being asked for.
-func (f *Follower) source(t *Table) (address string, ok bool) {
-	mine, whole := t.Last()
+// nextSource removes and returns a random peer among those with a newer version of a table.
+// If there is none, the fetch is over.
+func (f *Follower) nextSource(t *Table) (address string, ok bool) {
+	mine, loaded := t.Last()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	sources := f.sources[t.Name()]
-	for address, theirs := range sources { // The order of a map is one by chance.
+	for address, theirs := range sources { // Map iteration order is random.
 		delete(sources, address)
-		if f.ctx.Err() == nil && (!whole || theirs > mine) {
+		if f.ctx.Err() == nil && (!loaded || theirs > mine) {
 			return address, true
 		}
 	}
@@ -192,7 +191,7 @@
 	return "", false
 }
 
-// addSources adds peers that have a version of a table that is being asked for.
+// addSources adds peers that have a version of a table being fetched.
 func (f *Follower) addSources(t *Table, version int64, addresses []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -203,8 +202,8 @@
 	}
 }
 
-// ask takes what a peer has of a table.
-func (f *Follower) ask(address string, t *Table, begin time.Time) error {
+// fetch requests a table from a peer and applies the reply.
+func (f *Follower) fetch(address string, t *Table, begin time.Time) error {
 	ctx, cancel := context.WithTimeout(f.ctx, pullTimeout)
 	defer cancel()
 	req := TableRequest{Table: t.Name(), After: -1, Packed: true, Bundle: true, Asker: f.self}
@@ -213,75 +212,74 @@
 	}
 	var reply TableReply
 	if err := f.caller.Call(ctx, address, MethodTable, &req, &reply); err != nil {
-		return fmt.Errorf("ask for table: %w", err)
+		return fmt.Errorf("request table: %w", err)
 	}
 	if reply.Busy {
-		return &busyError{version: reply.Last, others: reply.Others}
+		return &busyError{version: reply.Last, holders: reply.Others}
 	}
-	rows, err := reply.unpack()
+	rows, err := reply.decodeRows()
 	if err != nil {
-		return fmt.Errorf("take table: %w", err)
+		return fmt.Errorf("decode table: %w", err)
 	}
 	now := clock.Now()
-	f.took(t, address, &reply, len(rows), now.Sub(begin))
+	f.recordFetch(t, address, &reply, len(rows), now.Sub(begin))
 	if reply.Whole {
-		t.replaceAs(now, rows, &reply)
+		t.replaceFromReply(now, rows, &reply)
 		return nil
 	}
-	t.change(now, rows)
+	t.apply(now, rows)
 	return nil
 }
 
-// took counts an answer that came, and logs a slow or large one.
-func (f *Follower) took(t *Table, address string, reply *TableReply, rows int, after time.Duration) {
-	f.taken.Add(1)
-	bytes := reply.size()
-	if after >= slowPull || bytes >= largePull {
-		f.log.Info("table taken from peer", "table", t.Name(), "peer_address", address, "rows", rows, "bytes", bytes, "ms", after.Milliseconds())
+// recordFetch counts a successful fetch and logs a slow or large one.
+func (f *Follower) recordFetch(t *Table, address string, reply *TableReply, rows int, after time.Duration) {
+	f.fetched.Add(1)
+	bytes := reply.payloadSize()
+	if after >= slowPull || bytes >= largePullBytes {
+		f.log.Info("fetched table from peer", "table", t.Name(), "peer_address", address, "rows", rows, "bytes", bytes, "ms", after.Milliseconds())
 	}
 }
 
-// Pulls returns what was counted so far.
+// Pulls returns the counts so far.
 func (f *Follower) Pulls() Pulls {
-	return Pulls{Given: f.given.Load(), Taken: f.taken.Load(), Failed: f.failed.Load()}
+	return Pulls{Given: f.served.Load(), Taken: f.fetched.Load(), Failed: f.failed.Load()}
 }
 
-// Answer gives a peer what this node has; it is the handler of MethodTable. A large answer
-// waits for its turn.
+// Answer is the handler of MethodTable. A large reply waits for a reply slot.
 func (f *Follower) Answer(ctx context.Context, req *TableRequest) (any, error) {
 	t := f.tables[req.Table]
 	if t == nil {
 		return nil, fmt.Errorf("no table %q", req.Table)
 	}
-	reply, err := answer(t, req)
+	reply, err := buildReply(t, req)
 	if err != nil {
 		return nil, err
 	}
-	if reply.size() < largeAnswer {
-		f.given.Add(1)
+	if reply.payloadSize() < largeReplyBytes {
+		f.served.Add(1)
 		return reply, nil
 	}
 	v := tableVersion{table: req.Table, version: reply.Last}
-	if ok, others := f.turns.take(ctx, v); !ok {
-		return &TableReply{Last: reply.Last, Busy: true, Others: others}, nil
+	if ok, holders := f.limiter.acquire(ctx, v); !ok {
+		return &TableReply{Last: reply.Last, Busy: true, Others: holders}, nil
 	}
-	f.given.Add(1)
-	return &largeReply{TableReply: reply, sent: func() { f.turns.end(v, req.Asker) }}, nil
+	f.served.Add(1)
+	return &largeReply{TableReply: reply, sent: func() { f.limiter.release(v, req.Asker) }}, nil
 }
 
-// answer returns what a table has for a request.
-func answer(t *Table, req *TableRequest) (*TableReply, error) {
+// buildReply returns a table's reply to a request.
+func buildReply(t *Table, req *TableRequest) (*TableReply, error) {
 	if req.Bundle {
-		return t.bundled(req.After)
+		return t.bundledSince(req.After)
 	}
-	reply, err := changes(t, req.After)
+	reply, err := changesSince(t, req.After)
 	if err != nil {
 		return nil, err
 	}
 	if req.Packed {
 		return reply, nil
 	}
-	rows, err := unpackAll(reply.Rows)
+	rows, err := decompressRows(reply.Rows)
 	if err != nil {
 		return nil, err
 	}
@@ -292,9 +290,9 @@
 	return reply, nil
 }
 
-// changes returns what changed in a table after a version, or the whole table where that
-// is not known any more.
-func changes(t *Table, after int64) (*TableReply, error) {
+// changesSince returns the changes in a table after a version, or the full table if the
+// history does not reach back that far.
+func changesSince(t *Table, after int64) (*TableReply, error) {
 	if after >= 0 {
 		rows, err := t.Since(after)
 		if err == nil {
@@ -312,7 +310,7 @@
 	return &TableReply{Rows: rows, Last: last, Whole: true}, nil
 }
 
-// Close ends calls in flight and waits for them.
+// Close cancels the fetches in flight and waits for them.
 func (f *Follower) Close() error {
 	f.cancel()
 	f.wg.Wait()
--- a/internal/feed/peer_row.go
+++ b/internal/feed/peer_row.go
@@ -9,27 +9,27 @@
 )
 
 const (
-	// packAbove is the size, in bytes, from which a value is kept and told to peers packed: a
+	// compressAbove is the size in bytes above which a value is stored and sent compressed: a
 	// configuration of 100 routes has 20 KB, an engine's entry 250 bytes. A configuration of 2,800
-	// routes, 596,412 bytes, becomes 56,429; one of 576,800 takes 4.9 ms of a core (BenchmarkPack).
-	packAbove = 4 << 10
+	// routes shrinks from 596,412 bytes to 56,429; one of 576,800 takes 4.9 ms of a core (BenchmarkCompress).
+	compressAbove = 4 << 10
 
-	// unpackedMost bounds a value that is unpacked, in bytes, as the store's answers are.
-	unpackedMost = 8 << 20
+	// maxValueBytes limits the size of a decompressed value; the store's replies have the same limit.
+	maxValueBytes = 8 << 20
 )
 
-// errTooLarge says that a packed value is larger than any that the store gives.
+// errTooLarge reports that a decompressed value exceeds the store's limit.
 var errTooLarge = errors.New("value is too large")
 
-// PeerRow is a row as nodes keep it and tell it to each other. A large value is packed
-// once, by the node that read it from the store, and passed on as it is: forty nodes that ask at once
-// took two seconds of a small node's processor where each answer was encoded anew.
+// PeerRow is a row as nodes store it and send it to each other. A large value is compressed once,
+// by the node that reads it from the store, and forwarded as it is: when each reply was encoded
+// separately, forty concurrent requests took two seconds of a small node's processor.
 type PeerRow struct {
 	Row
-	Packed []byte `json:"z,omitempty"` // Packed stands in place of a large value.
+	Packed []byte `json:"z,omitempty"` // Packed replaces a large Value.
 }
 
-// peerRows returns rows of the store as peers tell them.
+// peerRows converts rows of the store to PeerRows.
 func peerRows(rows []Row) []PeerRow {
 	out := make([]PeerRow, 0, len(rows))
 	for _, r := range rows {
@@ -38,14 +38,14 @@
 	return out
 }
 
-// pack returns the row without its value where this is large, packed.
-func (s PeerRow) pack() PeerRow {
-	if s.Packed == nil && len(s.Value) > packAbove {
-		packed, err := zip(s.Value, gzip.DefaultCompression)
+// compress returns the row with a large value replaced by its compressed form.
+func (s PeerRow) compress() PeerRow {
+	if s.Packed == nil && len(s.Value) > compressAbove {
+		compressed, err := gzipBytes(s.Value, gzip.DefaultCompression)
 		if err != nil {
-			return s // A row that is not packed is told as it is.
+			return s // The row is then sent uncompressed.
 		}
-		s.Packed = packed
+		s.Packed = compressed
 	}
 	if s.Packed != nil {
 		s.Value = nil
@@ -53,20 +53,20 @@
 	return s
 }
 
-// unpack returns the row with its value.
-func (s PeerRow) unpack() (PeerRow, error) {
+// decompress returns the row with its value restored.
+func (s PeerRow) decompress() (PeerRow, error) {
 	if s.Packed == nil {
 		return s, nil
 	}
 	var err error
-	if s.Value, err = unzip(s.Packed, unpackedMost); err != nil {
+	if s.Value, err = gunzipBytes(s.Packed, maxValueBytes); err != nil {
 		return s, fmt.Errorf("unpack %s: %w", s.Key, err)
 	}
 	return s, nil
 }
 
-// zip packs bytes.
-func zip(plain []byte, level int) ([]byte, error) {
+// gzipBytes compresses bytes at a gzip level.
+func gzipBytes(plain []byte, level int) ([]byte, error) {
 	var out bytes.Buffer
 	w, err := gzip.NewWriterLevel(&out, level)
 	if err != nil {
@@ -79,27 +79,27 @@
 	return out.Bytes(), nil
 }
 
-// unzip returns packed bytes as they were, of which there may be at most so many.
-func unzip(packed []byte, most int) ([]byte, error) {
-	r, err := gzip.NewReader(bytes.NewReader(packed))
+// gunzipBytes decompresses bytes; the result may have at most limit bytes.
+func gunzipBytes(compressed []byte, limit int) ([]byte, error) {
+	r, err := gzip.NewReader(bytes.NewReader(compressed))
 	if err != nil {
 		return nil, err
 	}
-	plain, err := io.ReadAll(io.LimitReader(r, int64(most)+1))
+	plain, err := io.ReadAll(io.LimitReader(r, int64(limit)+1))
 	switch {
 	case err != nil:
 		return nil, err
-	case len(plain) > most:
+	case len(plain) > limit:
 		return nil, errTooLarge
 	}
 	return plain, nil
 }
 
-// unpackAll returns rows with their values.
-func unpackAll(rows []PeerRow) ([]PeerRow, error) {
+// decompressRows returns the rows with their values restored.
+func decompressRows(rows []PeerRow) ([]PeerRow, error) {
 	out := make([]PeerRow, 0, len(rows))
 	for _, r := range rows {
-		r, err := r.unpack()
+		r, err := r.decompress()
 		if err != nil {
 			return nil, err
 		}
@@ -108,8 +108,8 @@
 	return out, nil
 }
 
-// size returns how many bytes the values of rows take on their way.
-func size(rows []PeerRow) int {
+// payloadSize returns the total size of the rows' values as sent, in bytes.
+func payloadSize(rows []PeerRow) int {
 	n := 0
 	for _, r := range rows {
 		n += len(r.Value) + len(r.Packed)
--- a/internal/feed/peer_row_test.go
+++ b/internal/feed/peer_row_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// noisy returns text of a length that packs badly, as names drawn by chance do.
+// noisy returns random text of n bytes, which compresses badly.
 func noisy(n int) []byte {
 	rnd := rand.New(rand.NewPCG(1, 1))
 	out := make([]byte, n)
@@ -23,32 +23,32 @@
 	return out
 }
 
-// TestLargeRowsArePackedOnce holds that a large value is kept packed and comes back as it was,
-// that a small one stays as it is, and that what can't be unpacked is an error.
-func TestLargeRowsArePackedOnce(t *testing.T) {
-	small, large := PeerRow{Row: Row{Key: "s", Value: noisy(packAbove)}}, PeerRow{Row: Row{Key: "l", Value: noisy(packAbove + 1)}}
-	if got := small.pack(); got.Packed != nil || !bytes.Equal(got.Value, small.Value) {
-		t.Errorf("a small value is packed: %d bytes", len(got.Packed))
-	}
-	packed := large.pack()
-	if packed.Packed == nil || packed.Value != nil {
-		t.Fatal("a large value is not packed")
-	}
-	back, err := packed.unpack()
+// TestLargeRowsAreCompressedOnce checks that a large value is stored compressed and restored
+// unchanged, that a small one stays uncompressed, and that invalid compressed data is an error.
+func TestLargeRowsAreCompressedOnce(t *testing.T) {
+	small, large := PeerRow{Row: Row{Key: "s", Value: noisy(compressAbove)}}, PeerRow{Row: Row{Key: "l", Value: noisy(compressAbove + 1)}}
+	if got := small.compress(); got.Packed != nil || !bytes.Equal(got.Value, small.Value) {
+		t.Errorf("a small value is compressed: %d bytes", len(got.Packed))
+	}
+	compressed := large.compress()
+	if compressed.Packed == nil || compressed.Value != nil {
+		t.Fatal("a large value is not compressed")
+	}
+	back, err := compressed.decompress()
 	if err != nil || !bytes.Equal(back.Value, large.Value) {
-		t.Errorf("a packed value comes back as %d bytes, %v", len(back.Value), err)
+		t.Errorf("a compressed value is restored to %d bytes, %v", len(back.Value), err)
 	}
-	if again := back.pack(); &again.Packed[0] != &packed.Packed[0] || again.Value != nil {
-		t.Error("a value that came packed is packed again")
+	if again := back.compress(); &again.Packed[0] != &compressed.Packed[0] || again.Value != nil {
+		t.Error("a compressed value is compressed again")
 	}
-	for _, bad := range [][]byte{{1, 2, 3}, packed.Packed[:len(packed.Packed)/2]} {
-		if _, err := (PeerRow{Packed: bad}).unpack(); err == nil {
-			t.Errorf("%d bytes that are no packed value are taken", len(bad))
+	for _, bad := range [][]byte{{1, 2, 3}, compressed.Packed[:len(compressed.Packed)/2]} {
+		if _, err := (PeerRow{Packed: bad}).decompress(); err == nil {
+			t.Errorf("%d bytes of invalid compressed data are accepted", len(bad))
 		}
 	}
 	var bomb bytes.Buffer
 	w := gzip.NewWriter(&bomb)
-	for range unpackedMost>>20 + 1 {
+	for range maxValueBytes>>20 + 1 {
 		if _, err := w.Write(make([]byte, 1<<20)); err != nil {
 			t.Fatal(err)
 		}
@@ -56,19 +56,19 @@
 	if err := w.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := (PeerRow{Packed: bomb.Bytes()}).unpack(); !errors.Is(err, errTooLarge) {
-		t.Errorf("%d bytes that unpack to over %d: %v", bomb.Len(), unpackedMost, err)
+	if _, err := (PeerRow{Packed: bomb.Bytes()}).decompress(); !errors.Is(err, errTooLarge) {
+		t.Errorf("%d bytes that decompress to over %d: %v", bomb.Len(), maxValueBytes, err)
 	}
 }
 
-// TestOlderProgramsGetRowsAsTheyWere holds that a node which does not say that it takes
-// packed rows gets values.
-func TestOlderProgramsGetRowsAsTheyWere(t *testing.T) {
+// TestOlderPeersGetUncompressedRows checks that a requester which does not accept compressed
+// rows gets uncompressed values.
+func TestOlderPeersGetUncompressedRows(t *testing.T) {
 	table := NewTable("t", func(time.Time, []Row) {})
-	value := noisy(3 * packAbove)
+	value := noisy(3 * compressAbove)
 	table.Replace(time.Time{}, Snapshot{Rows: []Row{{Table: "t", Key: "l", Value: value, Version: 3}}, Version: 3})
-	for _, packed := range []bool{false, true} {
-		reply, err := answer(table, &TableRequest{Table: "t", After: -1, Packed: packed})
+	for _, accepts := range []bool{false, true} {
+		reply, err := buildReply(table, &TableRequest{Table: "t", After: -1, Packed: accepts})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -82,68 +82,68 @@
 		if err := json.Unmarshal(text, &old); err != nil {
 			t.Fatal(err)
 		}
-		if got := bytes.Equal(old.Rows[0].Value, value); got == packed {
-			t.Errorf("asked with packed %v: value as it was is %v", packed, got)
+		if got := bytes.Equal(old.Rows[0].Value, value); got == accepts {
+			t.Errorf("accepts compressed %v: uncompressed value is %v", accepts, got)
 		}
 	}
 }
 
-// TestAskersAreSentToThoseWhoHave holds that few large answers go out at a time, and that who
-// is not answered is told of those that were, for the same version alone.
-func TestAskersAreSentToThoseWhoHave(t *testing.T) {
-	turns, v := newTurns(), tableVersion{"t", 7}
+// TestBusyPeerRedirectsToHolders checks that few large replies are sent concurrently, and that
+// other requesters are redirected to nodes which have received the same version.
+func TestBusyPeerRedirectsToHolders(t *testing.T) {
+	limiter, v := newReplyLimiter(), tableVersion{"t", 7}
 	ctx := context.Background()
-	for i := range answersMost {
-		if ok, _ := turns.take(ctx, v); !ok {
-			t.Fatalf("answer %d has to wait", i)
+	for i := range maxLargeReplies {
+		if ok, _ := limiter.acquire(ctx, v); !ok {
+			t.Fatalf("reply %d has to wait", i)
 		}
 	}
 	begin := time.Now()
-	if ok, others := turns.take(ctx, v); ok || len(others) > 0 || time.Since(begin) < turnWait {
-		t.Errorf("one more gets %v and is told of %v after %v", ok, others, time.Since(begin))
+	if ok, others := limiter.acquire(ctx, v); ok || len(others) > 0 || time.Since(begin) < slotWait {
+		t.Errorf("one more gets a slot: %v, holders %v after %v", ok, others, time.Since(begin))
 	}
-	for i := range answersMost {
-		turns.end(v, fmt.Sprint("n", i))
+	for i := range maxLargeReplies {
+		limiter.release(v, fmt.Sprint("n", i))
 	}
-	for range answersMost {
-		turns.take(ctx, v)
+	for range maxLargeReplies {
+		limiter.acquire(ctx, v)
 	}
-	ok, others := turns.take(ctx, v)
+	ok, others := limiter.acquire(ctx, v)
 	slices.Sort(others)
 	if ok || !slices.Equal(others, []string{"n0", "n1", "n2"}) {
-		t.Errorf("one more gets %v and is told of %v, want those that were answered", ok, others)
+		t.Errorf("one more gets a slot: %v, holders %v, want n0, n1 and n2", ok, others)
 	}
 	newer := tableVersion{"t", 8}
-	if _, others := turns.take(ctx, newer); len(others) > 0 {
-		t.Errorf("one that asks for a newer version is told of %v, who have the one before", others)
+	if _, others := limiter.acquire(ctx, newer); len(others) > 0 {
+		t.Errorf("a request for a newer version is redirected to %v, which have the older one", others)
 	}
-	turns.end(newer, "n9")
-	turns.end(v, "late")
+	limiter.release(newer, "n9")
+	limiter.release(v, "late")
 	for range 2 {
-		turns.take(ctx, newer)
+		limiter.acquire(ctx, newer)
 	}
-	if ok, others := turns.take(ctx, newer); ok || !slices.Equal(others, []string{"n9"}) {
-		t.Errorf("gets %v and is told of %v, want n9 alone", ok, others)
+	if ok, others := limiter.acquire(ctx, newer); ok || !slices.Equal(others, []string{"n9"}) {
+		t.Errorf("one more gets a slot: %v, holders %v, want n9 alone", ok, others)
 	}
 }
 
-// BenchmarkPack measures what a node does once with a configuration of 2,800 routes that
-// it has read: 4.9 ms. Before, nothing was packed, and each answer was encoded as it
-// was (BenchmarkAnswer: 1.04 ms before, 0.08 ms packed).
-func BenchmarkPack(b *testing.B) {
+// BenchmarkCompress measures compressing a configuration of 2,800 routes, which a node does once after
+// reading it: 4.9 ms. Encoding each reply (BenchmarkEncodeReply) takes 1.04 ms uncompressed and
+// 0.08 ms compressed.
+func BenchmarkCompress(b *testing.B) {
 	value := benchConfig()
 	for b.Loop() {
-		if got := (PeerRow{Row: Row{Value: value}}).pack(); got.Packed == nil {
-			b.Fatal("not packed")
+		if got := (PeerRow{Row: Row{Value: value}}).compress(); got.Packed == nil {
+			b.Fatal("not compressed")
 		}
 	}
 }
 
-// BenchmarkAnswer measures the encoding of an answer with such a configuration, as it was
-// before and packed.
-func BenchmarkAnswer(b *testing.B) {
-	whole := PeerRow{Row: Row{Value: benchConfig()}}
-	for name, row := range map[string]PeerRow{"before": whole, "packed": whole.pack()} {
+// BenchmarkEncodeReply measures encoding a reply with such a configuration, uncompressed and
+// compressed.
+func BenchmarkEncodeReply(b *testing.B) {
+	uncompressed := PeerRow{Row: Row{Value: benchConfig()}}
+	for name, row := range map[string]PeerRow{"uncompressed": uncompressed, "compressed": uncompressed.compress()} {
 		b.Run(name, func(b *testing.B) {
 			for b.Loop() {
 				if _, err := json.Marshal(&TableReply{Rows: []PeerRow{row}}); err != nil {
--- a/internal/feed/race_on_test.go
+++ b/internal/feed/race_on_test.go
@@ -2,5 +2,5 @@
 
 package feed_test
 
-// raceFactor is how much longer timed tests may take with the race detector.
+// raceFactor scales the time limits of tests under the race detector.
 const raceFactor = 4
--- a/internal/feed/reader.go
+++ b/internal/feed/reader.go
@@ -11,38 +11,38 @@
 )
 
 const (
-	// gather is the pause after changes, so that the next call brings several where
-	// changes come one after another, as when engines start; each call is paid for.
-	gather = 100 * time.Millisecond
+	// batchDelay is the delay after changes, so that the next call returns several when
+	// they come in quick succession, as when engines start; calls to the store are billed.
+	batchDelay = 100 * time.Millisecond
 
-	// idlePoll is how often a node that does not read looks whether it should, unless
-	// it is woken.
-	idlePoll = 2 * time.Second
+	// idlePollInterval is how often an inactive reader checks Wanted, unless it is
+	// woken.
+	idlePollInterval = 2 * time.Second
 )
 
 type (
-	// Source is where tables are read from.
+	// Source is the store that tables are read from.
 	Source interface {
 		List(ctx context.Context, table, part string) (Snapshot, error)
 		Changes(ctx context.Context, table string, after int64, wait time.Duration) (Snapshot, error)
 	}
 
-	// Reader keeps a table's copy up to date from the platform, while it is asked to.
+	// Reader keeps a table up to date from the store while Wanted is true.
 	Reader struct {
 		Table  *Table
 		Source Source
-		Wait   time.Duration            // Wait is how long a call waits for changes.
-		Wanted func(now time.Time) bool // Wanted says whether this node should read.
-		Proven func(at time.Time)       // Proven is told of a moment at which the copy was the newest; may be nil.
-		Lost   func(now time.Time)      // Lost is told of each failed call.
-		Wake   <-chan struct{}          // Wake ends the pause of a node that does not read; it may be nil.
+		Wait   time.Duration            // Wait is the long-poll duration of a Changes call.
+		Wanted func(now time.Time) bool // Wanted reports whether this node should read.
+		Proven func(at time.Time)       // Proven is called with a time at which the copy was current; may be nil.
+		Lost   func(now time.Time)      // Lost is called after each failed call.
+		Wake   <-chan struct{}          // Wake ends the wait of an inactive reader; it may be nil.
 		Log    *slog.Logger
 
-		version int64 // version is the newest of all tables that was taken.
-		known   bool  // known says that version is set.
-		lost    bool
-		reads   bool  // reads says that this node read when it last looked.
-		calls   int64 // calls counts the calls so far.
+		version    int64 // version is the newest version of all tables that was read.
+		hasVersion bool  // hasVersion is set once version is valid.
+		failing    bool  // failing is set while calls fail.
+		active     bool  // active is the last result of Wanted.
+		calls      int64 // calls counts the calls so far.
 	}
 )
 
@@ -50,19 +50,19 @@
 func (r *Reader) Run(ctx context.Context) {
 	var backoff pause.Backoff
 	for ctx.Err() == nil {
-		if !r.wanted(clock.Now()) {
-			pause.Woken(ctx, idlePoll, r.Wake)
+		if !r.checkActive(clock.Now()) {
+			pause.Woken(ctx, idlePollInterval, r.Wake)
 			continue
 		}
-		err := r.once(ctx)
+		err := r.readOnce(ctx)
 		switch {
 		case ctx.Err() != nil:
 			return
 		case errors.Is(err, ErrHistoryGone):
-			r.Log.Warn("history of the table is gone; reading it anew", "table", r.Table.Name(), "version", r.version)
-			r.known = false
+			r.Log.Warn("table history is no longer available; reading the full table", "table", r.Table.Name(), "version", r.version)
+			r.hasVersion = false
 		case err != nil:
-			r.failed(clock.Now(), err)
+			r.recordFailure(clock.Now(), err)
 			backoff.Wait(ctx)
 		default:
 			backoff.Reset()
@@ -70,32 +70,32 @@
 	}
 }
 
-// Read reads once what has changed.
-func (r *Reader) Read(ctx context.Context) error { return r.once(ctx) }
+// Read makes a single call to the store.
+func (r *Reader) Read(ctx context.Context) error { return r.readOnce(ctx) }
 
-// wanted reports whether this node should read, and logs a change.
-func (r *Reader) wanted(now time.Time) bool {
-	reads := r.Wanted(now)
-	if reads != r.reads {
-		r.Log.Info("reading of the store", "table", r.Table.Name(), "reads", reads, "version", r.version, "calls", r.calls)
+// checkActive reports whether this node should read, and logs transitions.
+func (r *Reader) checkActive(now time.Time) bool {
+	active := r.Wanted(now)
+	if active != r.active {
+		r.Log.Info("store reader changed state", "table", r.Table.Name(), "reads", active, "version", r.version, "calls", r.calls)
 	}
-	r.reads = reads
-	return reads
+	r.active = active
+	return active
 }
 
-// once makes one call and takes its answer.
-func (r *Reader) once(ctx context.Context) error {
+// readOnce makes one call and applies its result.
+func (r *Reader) readOnce(ctx context.Context) error {
 	r.calls++
 	if last, ok := r.Table.Last(); ok && last > r.version {
-		r.version, r.known = last, true // A peer told more while this node did not read.
+		r.version, r.hasVersion = last, true // Peers sent newer rows while this reader was inactive.
 	}
-	if !r.known {
+	if !r.hasVersion {
 		snap, err := r.Source.List(ctx, r.Table.Name(), "")
 		if err != nil {
 			return err
 		}
 		r.Table.Replace(clock.Now(), snap)
-		r.took(snap)
+		r.recordSuccess(snap)
 		return nil
 	}
 	snap, err := r.Source.Changes(ctx, r.Table.Name(), r.version, r.Wait)
@@ -103,30 +103,30 @@
 		return err
 	}
 	r.Table.Change(clock.Now(), snap.Rows)
-	r.took(snap)
+	r.recordSuccess(snap)
 	if len(snap.Rows) > 0 {
-		pause.For(ctx, gather)
+		pause.For(ctx, batchDelay)
 	}
 	return nil
 }
 
-// took records that an answer was taken.
-func (r *Reader) took(snap Snapshot) {
-	if r.lost {
-		r.Log.Info("store regained", "table", r.Table.Name(), "version", snap.Version)
+// recordSuccess records a successful call.
+func (r *Reader) recordSuccess(snap Snapshot) {
+	if r.failing {
+		r.Log.Info("store is available again", "table", r.Table.Name(), "version", snap.Version)
 	}
-	r.lost = false
-	r.version, r.known = max(r.version, snap.Version), true
+	r.failing = false
+	r.version, r.hasVersion = max(r.version, snap.Version), true
 	if r.Proven != nil {
 		r.Proven(snap.AsOf)
 	}
 }
 
-// failed records a failed call, once for each time that the store is lost.
-func (r *Reader) failed(now time.Time, err error) {
-	if !r.lost {
-		r.Log.Warn("store lost", "table", r.Table.Name(), "version", r.version, "error", err.Error())
+// recordFailure records a failed call and logs the first of consecutive failures.
+func (r *Reader) recordFailure(now time.Time, err error) {
+	if !r.failing {
+		r.Log.Warn("store request failed", "table", r.Table.Name(), "version", r.version, "error", err.Error())
 	}
-	r.lost = true
+	r.failing = true
 	r.Lost(now)
 }
--- a/internal/feed/spread_test.go
+++ b/internal/feed/spread_test.go
@@ -16,50 +16,44 @@
 	"github.com/croftturn/croftturn/internal/peer"
 )
 
-// What users saw: a configuration that had been acknowledged was not in force at most of 87 nodes
-// when it was due three seconds later, and requests went by the one before.
+// Guards against slow propagation of a large table. A configuration of 2,800 routes (0.57 MB) was
+// not in force at most of 87 nodes three seconds after its acknowledgement, when it was due.
 //
-// The order of events: the configuration had grown to 2,800 routes, 0.57 MB. Two small nodes
-// (a fifth of a core, 10 Mbit/s) read it from the store within 0.84 s and told the others, of
-// which some fifty asked them for it at once. Each answer was encoded anew, so that the readers'
-// processors were used up for two seconds in which they sent less than one answer; then their
-// links were full for seconds. Each pull was given up after one second, whatever had come, and
-// asked for again, so that what was sent reached nobody who still waited: 454 pulls failed.
-// Spokes whose proof grew old meanwhile read the store by themselves, over the links that the
-// pulls filled.
+// Two small nodes (a fifth of a core, 10 Mbit/s) read it from the store within 0.84 s, and some fifty
+// nodes requested it from them at once. Encoding each reply separately used up the readers' processors
+// for two seconds (165 KB/s sent); then their links were saturated (1.1 to 1.3 MB/s). Each pull was
+// abandoned after one second, whatever had arrived, and retried: 454 pulls failed. Other nodes whose
+// configuration was no longer known to be current then read the store over the same saturated links.
+// The three nodes that read the store had the configuration after 0.8 s, the median node after 4 s.
 //
-// The cause: what one source had to do grew with the number of nodes times the size of the
-// table, while the time that a pull had was fixed and what came late was thrown away. From
-// some size on no pull ended well, and retries kept it so.
-//
-// The evidence: the readers' processors at their whole share and 165 KB a second sent, then
-// links at 1.1 to 1.3 MB a second, in the seconds in which all pulls failed; the three nodes
-// which read the store had the configuration 0.8 s after it was sent, the median node after 4.
+// The work of one source grew with the number of nodes times the table size, while the time limit of a
+// pull was fixed and partial results were discarded. Above some size no pull succeeded, and retries kept
+// it so.
 
 const (
-	narrowLink  = 1_250_000 // narrowLink is the link of a small node, in bytes a second.
-	narrowBurst = 16 << 10  // narrowBurst is how many bytes leave at once.
-	spreadNodes = 40
-	spreadTells = 3 // spreadTells is how many nodes tell the others; these ask only them.
+	linkBytesPerSecond = 1_250_000 // linkBytesPerSecond is the bandwidth of a small node's link.
+	linkBurstBytes     = 16 << 10  // linkBurstBytes is how many bytes are sent at once.
+	nodeCount          = 40
+	announcers         = 3 // announcers is how many nodes announce their versions; the others request only from them.
 )
 
-// spreadRoutes is how many routes the configuration has, and spreadWithin when it is due: three
-// seconds after its acknowledgement, of which half a second is for readers and messages. The race
-// detector takes three quarters of the processor's time that forty nodes in one process
-// need, so that the bound is longer with it; the tests are run without it, too.
+// routeCount is the number of routes of the configuration, and routesDeadline the time in which it must
+// spread: three seconds after its acknowledgement, less half a second for readers and messages. The race
+// detector takes three quarters of the processor time of forty nodes in one process, so the limit is
+// longer with it; the tests are run without it, too.
 const (
-	spreadRoutes = 2800
-	spreadWithin = raceFactor * 2500 * time.Millisecond
+	routeCount     = 2800
+	routesDeadline = raceFactor * 2500 * time.Millisecond
 )
 
-// link is a node's way out, which all its connections share.
+// link is a node's outgoing link, shared by all its connections.
 type link struct {
 	net.Listener
 	mu   sync.Mutex
-	free time.Time // free is when the bytes sent so far have left.
+	free time.Time // free is when the link has sent all bytes so far.
 }
 
-// Accept returns a connection whose answers go over the link.
+// Accept returns a connection whose writes share the link's bandwidth.
 func (l *link) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
@@ -68,29 +62,29 @@
 	return &linkConn{conn, l}, nil
 }
 
-// leave returns when some bytes have left.
-func (l *link) leave(now time.Time, n int) time.Time {
+// reserve returns when the link will have sent n more bytes.
+func (l *link) reserve(now time.Time, n int) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.free.Before(now) {
 		l.free = now
 	}
-	l.free = l.free.Add(time.Duration(n) * time.Second / narrowLink)
+	l.free = l.free.Add(time.Duration(n) * time.Second / linkBytesPerSecond)
 	return l.free
 }
 
-// linkConn is a connection over a link.
+// linkConn is a connection limited by a link.
 type linkConn struct {
 	net.Conn
 	link *link
 }
 
-// Write writes no faster than the link allows.
+// Write writes at the link's bandwidth.
 func (c *linkConn) Write(p []byte) (int, error) {
 	written := 0
 	for len(p) > 0 {
-		n := min(len(p), narrowBurst)
-		<-time.After(time.Until(c.link.leave(time.Now(), n)))
+		n := min(len(p), linkBurstBytes)
+		<-time.After(time.Until(c.link.reserve(time.Now(), n)))
 		m, err := c.Conn.Write(p[:n])
 		written += m
 		if err != nil {
@@ -101,13 +95,13 @@
 	return written, nil
 }
 
-// spreadNode is a node that has a table, gives it to peers and takes it from them.
+// spreadNode is a node that serves a table to peers and fetches it from them.
 type spreadNode struct {
 	address  string
 	table    *feed.Table
 	follower *feed.Follower
 	got      chan []byte
-	rows     atomic.Int64 // rows counts the rows that were taken.
+	rows     atomic.Int64 // rows counts the rows received.
 }
 
 // newSpreadNode starts a node with an empty table.
@@ -142,15 +136,15 @@
 // newSpreadNodes starts nodes with empty tables.
 func newSpreadNodes(t *testing.T) []*spreadNode {
 	t.Helper()
-	nodes := make([]*spreadNode, spreadNodes)
+	nodes := make([]*spreadNode, nodeCount)
 	for i := range nodes {
 		nodes[i] = newSpreadNode(t)
 	}
 	return nodes
 }
 
-// tell tells other nodes which version a node has, as its messages do ten times a second.
-func (n *spreadNode) tell(ctx context.Context, others []*spreadNode) {
+// announce tells other nodes this node's version ten times a second, as its messages do.
+func (n *spreadNode) announce(ctx context.Context, others []*spreadNode) {
 	tick := time.NewTicker(100 * time.Millisecond)
 	defer tick.Stop()
 	for {
@@ -167,7 +161,7 @@
 	}
 }
 
-// manyRoutes returns a configuration with names drawn by chance, as the operator writes it.
+// manyRoutes returns a configuration with random names, in the operator's format.
 func manyRoutes(count int) []byte {
 	rnd := rand.New(rand.NewPCG(1, 1))
 	word := func(n int) string {
@@ -192,49 +186,49 @@
 	return text
 }
 
-// TestALargeRowReachesAllNodesInTime holds that a configuration of 2,800 routes which one node has read is
-// in force at forty nodes before it is due, though they can ask only three nodes with narrow links.
+// TestALargeRowReachesAllNodesInTime checks that a configuration of 2,800 routes read by one node reaches
+// forty nodes in time, though only three nodes with slow links announce it.
 func TestALargeRowReachesAllNodesInTime(t *testing.T) {
-	value := manyRoutes(spreadRoutes)
+	value := manyRoutes(routeCount)
 	nodes := newSpreadNodes(t)
 	for _, n := range nodes {
 		n.table.Replace(start, feed.Snapshot{Version: 1})
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	var telling sync.WaitGroup
-	defer telling.Wait()
+	var announcing sync.WaitGroup
+	defer announcing.Wait()
 	defer cancel()
 	begin := time.Now()
 	nodes[0].table.Change(begin, []feed.Row{{Table: "t", Key: "config", Value: value, Version: 10}})
-	for _, n := range nodes[:spreadTells] {
-		telling.Go(func() { n.tell(ctx, nodes) })
+	for _, n := range nodes[:announcers] {
+		announcing.Go(func() { n.announce(ctx, nodes) })
 	}
-	late := time.After(spreadWithin)
+	deadline := time.After(routesDeadline)
 	for i, n := range nodes {
 		select {
 		case got := <-n.got:
 			if !bytes.Equal(got, value) {
 				t.Errorf("node %d has %d bytes, want the %d that were read", i, len(got), len(value))
 			}
-		case <-late:
-			t.Fatalf("%v after a configuration of %d bytes was read, %s", time.Since(begin), len(value), without(nodes[i:]))
+		case <-deadline:
+			t.Fatalf("%v after reading a configuration of %d bytes: %s", time.Since(begin), len(value), describeMissing(nodes[i:]))
 		}
 	}
 	t.Logf("%d bytes reached %d nodes in %v", len(value), len(nodes), time.Since(begin))
 }
 
-// without says how many of some nodes have taken nothing.
-func without(nodes []*spreadNode) string {
+// describeMissing describes how many of the nodes have received nothing.
+func describeMissing(nodes []*spreadNode) string {
 	count := 0
 	for _, n := range nodes {
 		if len(n.got) == 0 {
 			count++
 		}
 	}
-	return fmt.Sprintf("%d nodes are without it", count)
+	return fmt.Sprintf("%d nodes have not received it", count)
 }
 
-// manyEngines returns the entries of engines, as they stand in the store.
+// manyEngines returns engine entries in the store's format.
 func manyEngines(count int) []feed.Row {
 	rnd := rand.New(rand.NewPCG(2, 1))
 	rows := make([]feed.Row, 0, count)
@@ -246,36 +240,36 @@
 	return rows
 }
 
-// enginesWithin is when nodes that start together must have the engines: within five seconds at 300 nodes. There
-// the answers go through four nodes one after another, with forty through two or three, so that it is half of that.
+// enginesDeadline is the time in which nodes that start together must have the engines: five seconds for 300
+// nodes. There replies pass through four nodes in sequence, among forty through two or three, hence half of that.
 const (
-	enginesMany   = 3000
-	enginesWithin = raceFactor * 2500 * time.Millisecond
+	engineCount     = 3000
+	enginesDeadline = raceFactor * 2500 * time.Millisecond
 )
 
-// TestManyEnginesReachAllNodesInTime holds that 3,000 engines which one node has read are known at forty nodes
-// with narrow links that have started together and know none.
+// TestManyEnginesReachAllNodesInTime checks that 3,000 engines read by one node reach forty nodes in time
+// that have slow links and start together with empty tables.
 func TestManyEnginesReachAllNodesInTime(t *testing.T) {
 	nodes := newSpreadNodes(t)
 	ctx, cancel := context.WithCancel(context.Background())
-	var telling sync.WaitGroup
-	defer telling.Wait()
+	var announcing sync.WaitGroup
+	defer announcing.Wait()
 	defer cancel()
 	begin := time.Now()
-	nodes[0].table.Replace(begin, feed.Snapshot{Rows: manyEngines(enginesMany), Version: enginesMany})
-	for _, n := range nodes[:spreadTells] {
-		telling.Go(func() { n.tell(ctx, nodes) })
+	nodes[0].table.Replace(begin, feed.Snapshot{Rows: manyEngines(engineCount), Version: engineCount})
+	for _, n := range nodes[:announcers] {
+		announcing.Go(func() { n.announce(ctx, nodes) })
 	}
-	late := time.After(enginesWithin)
+	deadline := time.After(enginesDeadline)
 	for i, n := range nodes {
 		select {
 		case <-n.got:
-			if got := n.rows.Load(); got != enginesMany {
-				t.Errorf("node %d took %d engines, want %d", i, got, enginesMany)
+			if got := n.rows.Load(); got != engineCount {
+				t.Errorf("node %d received %d engines, want %d", i, got, engineCount)
 			}
-		case <-late:
-			t.Fatalf("%v after %d engines were read, %s", time.Since(begin), enginesMany, without(nodes[i:]))
+		case <-deadline:
+			t.Fatalf("%v after reading %d engines: %s", time.Since(begin), engineCount, describeMissing(nodes[i:]))
 		}
 	}
-	t.Logf("%d engines reached %d nodes in %v", enginesMany, len(nodes), time.Since(begin))
+	t.Logf("%d engines reached %d nodes in %v", engineCount, len(nodes), time.Since(begin))
 }
--- a/internal/feed/table.go
+++ b/internal/feed/table.go
@@ -6,59 +6,58 @@
 	"time"
 )
 
-// keptDeleted is how many deleted rows of a table are remembered, so that peers
-// learn of them; a peer that lacks older ones takes the whole table.
-const keptDeleted = 1000
+// maxTombstones limits the deleted rows that a table remembers for its peers; a
+// peer that needs older ones fetches the full table.
+const maxTombstones = 1000
 
 type (
-	// Consumer takes changed rows, deleted ones among them, in the order of their versions.
+	// Consumer receives changed rows, including deleted ones, in version order.
 	Consumer func(now time.Time, rows []Row)
 
-	// Table is the copy of one table. Its methods may be called from many goroutines.
+	// Table is a local copy of one table. It is safe for concurrent use.
 	Table struct {
 		name    string
 		consume Consumer
 
-		mu      sync.Mutex
-		rows    map[string]PeerRow
-		deleted map[string]PeerRow
-		last    int64 // last is the newest version among the rows, deleted ones included.
-		floor   int64 // floor is the version up to which deleted rows may be unknown.
-		whole   bool  // whole says that the table was read whole once.
-		changes int64 // changes counts the times at which rows were taken.
+		mu           sync.Mutex
+		rows         map[string]PeerRow
+		tombstones   map[string]PeerRow
+		latest       int64 // latest is the newest version among the rows, including deleted ones.
+		historyStart int64 // historyStart is the version up to which deleted rows may be unknown.
+		loaded       bool  // loaded is set once the full table was read.
+		generation   int64 // generation counts the updates that changed rows.
 
-		bundling sync.Mutex // bundling lets one answer be packed at a time; it is locked before mu.
-		bundle   bundle     // bundle is the answer that was packed last.
+		bundleMu sync.Mutex // bundleMu allows one bundle to be built at a time; it is locked before mu.
+		bundle   bundle     // bundle is the cached reply.
 	}
 )
 
-// NewTable returns an empty copy.
+// NewTable returns an empty table.
 func NewTable(name string, consume Consumer) *Table {
-	return &Table{name: name, consume: consume, rows: map[string]PeerRow{}, deleted: map[string]PeerRow{}}
+	return &Table{name: name, consume: consume, rows: map[string]PeerRow{}, tombstones: map[string]PeerRow{}}
 }
 
-// Name returns the table's name.
 func (t *Table) Name() string { return t.name }
 
-// Last returns the newest version in the copy; ok is false before it is whole.
-func (t *Table) Last() (last int64, ok bool) {
+// Last returns the newest version in the table; ok is false until it is loaded.
+func (t *Table) Last() (latest int64, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.last, t.whole
+	return t.latest, t.loaded
 }
 
-// Replace takes the whole table as it was at a version. Rows that it lacks were
-// deleted, unless the copy has them in a newer version.
+// Replace applies a full snapshot. Rows missing from it are deleted unless the
+// table has a newer version of them.
 func (t *Table) Replace(now time.Time, snap Snapshot) {
 	t.replace(now, peerRows(snap.Rows), snap.Version)
 }
 
-// replace takes the whole table; the rows are its own from then on. It reports whether the copy was
-// empty before, and how many changes it has taken since.
-func (t *Table) replace(now time.Time, rows []PeerRow, version int64) (wasEmpty bool, changes int64) {
+// replace applies a full snapshot and takes ownership of rows. It reports whether the table was empty
+// before, and returns the generation after the update.
+func (t *Table) replace(now time.Time, rows []PeerRow, version int64) (wasEmpty bool, generation int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	wasEmpty = len(t.rows)+len(t.deleted) == 0
+	wasEmpty = len(t.rows)+len(t.tombstones) == 0
 	present := map[string]bool{}
 	for _, r := range rows {
 		present[r.Key] = true
@@ -68,73 +67,73 @@
 			rows = append(rows, PeerRow{Row: Row{Table: t.name, Key: key, Version: version, Deleted: true}})
 		}
 	}
-	t.take(now, rows)
-	t.floor = max(t.floor, version) // Rows may have been deleted before it that the copy never had.
-	t.whole = true
-	return wasEmpty, t.changes
+	t.merge(now, rows)
+	t.historyStart = max(t.historyStart, version) // Earlier deletions may be of rows that this copy never had.
+	t.loaded = true
+	return wasEmpty, t.generation
 }
 
-// Change takes changed rows.
-func (t *Table) Change(now time.Time, rows []Row) { t.change(now, peerRows(rows)) }
+// Change applies changed rows.
+func (t *Table) Change(now time.Time, rows []Row) { t.apply(now, peerRows(rows)) }
 
-// change takes changed rows.
-func (t *Table) change(now time.Time, rows []PeerRow) {
+// apply applies changed rows.
+func (t *Table) apply(now time.Time, rows []PeerRow) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.take(now, rows)
+	t.merge(now, rows)
 }
 
-// take keeps what is newer than the copy and hands it on.
-func (t *Table) take(now time.Time, rows []PeerRow) {
-	var news []Row
+// merge stores the rows that are newer than the table's and passes them to the consumer.
+func (t *Table) merge(now time.Time, rows []PeerRow) {
+	var changed []Row
 	for _, r := range rows {
-		if r.Version <= max(t.rows[r.Key].Version, t.deleted[r.Key].Version) {
+		if r.Version <= max(t.rows[r.Key].Version, t.tombstones[r.Key].Version) {
 			continue
 		}
-		news = append(news, r.Row)
-		t.last = max(t.last, r.Version)
+		changed = append(changed, r.Row)
+		t.latest = max(t.latest, r.Version)
 		if r.Deleted {
 			delete(t.rows, r.Key)
-			t.deleted[r.Key] = r
+			t.tombstones[r.Key] = r
 			continue
 		}
-		delete(t.deleted, r.Key)
-		t.rows[r.Key] = r.pack()
+		delete(t.tombstones, r.Key)
+		t.rows[r.Key] = r.compress()
 	}
-	t.forgetDeleted()
-	sort.SliceStable(news, func(i, j int) bool { return news[i].Version < news[j].Version })
-	if len(news) > 0 {
-		t.changes++
-		t.consume(now, news)
+	t.trimTombstones()
+	sort.SliceStable(changed, func(i, j int) bool { return changed[i].Version < changed[j].Version })
+	if len(changed) > 0 {
+		t.generation++
+		t.consume(now, changed)
 	}
 }
 
-// forgetDeleted forgets the oldest deleted rows where there are too many.
-func (t *Table) forgetDeleted() {
-	if len(t.deleted) <= keptDeleted {
+// trimTombstones drops the older half of the deleted rows once there are too many.
+func (t *Table) trimTombstones() {
+	if len(t.tombstones) <= maxTombstones {
 		return
 	}
-	list := make([]PeerRow, 0, len(t.deleted))
-	for _, r := range t.deleted {
+	list := make([]PeerRow, 0, len(t.tombstones))
+	for _, r := range t.tombstones {
 		list = append(list, r)
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].Version < list[j].Version })
 	for _, r := range list[:len(list)/2] {
-		delete(t.deleted, r.Key)
-		t.floor = max(t.floor, r.Version)
+		delete(t.tombstones, r.Key)
+		t.historyStart = max(t.historyStart, r.Version)
 	}
 }
 
-// Since returns the rows that changed after a version, deleted ones among them.
-// The error is ErrHistoryGone where All has to be asked for.
+// Since returns the rows that changed after a version, including deleted ones. It
+// returns ErrHistoryGone if the caller has to use All instead.
 func (t *Table) Since(after int64) ([]PeerRow, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !t.whole || after < t.floor {
+	if !t.loaded || after < t.historyStart {
 		return nil, ErrHistoryGone
 	}
 	var out []PeerRow
-	for _, list := range []map[string]PeerRow{t.rows, t.deleted} {
+	for _, list := range []map[string]PeerRow{t.rows, t.tombstones} {
 		for _, r := range list {
 			if r.Version > after {
 				out = append(out, r)
@@ -144,13 +143,13 @@
 	return out, nil
 }
 
-// All returns all rows and the newest version among them and those deleted.
-func (t *Table) All() (rows []PeerRow, last int64, ok bool) {
+// All returns all rows and the newest version, deleted rows included.
+func (t *Table) All() (rows []PeerRow, latest int64, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	rows = make([]PeerRow, 0, len(t.rows))
 	for _, r := range t.rows {
 		rows = append(rows, r)
 	}
-	return rows, t.last, t.whole
+	return rows, t.latest, t.loaded
 }
--- a/internal/feed/turns.go
+++ b/internal/feed/turns.go
@@ -8,116 +8,116 @@
 )
 
 const (
-	// largeAnswer is from how many bytes on an answer has to wait for its turn, and answersMost
-	// how many such are on their way at once: those that are begun end soon, whatever the link,
-	// and one asker that takes nothing doesn't hold up the others.
-	largeAnswer = 8 << 10
-	answersMost = 3
+	// largeReplyBytes is the size from which a reply needs a slot, and maxLargeReplies how many
+	// such replies are sent concurrently: few enough that each ends soon on any link, and more
+	// than one so that a stalled requester does not block the others.
+	largeReplyBytes = 8 << 10
+	maxLargeReplies = 3
 
-	// turnWait is how long a call waits for its turn while there is nobody else to ask.
-	turnWait = 250 * time.Millisecond
+	// slotWait is how long a request waits for a slot while no other node has the version.
+	slotWait = 250 * time.Millisecond
 
-	// othersKept is how many of the nodes that were answered are remembered, and othersTold
-	// how many of them an asker is told that gets no answer yet.
-	othersKept = 32
-	othersTold = 3
+	// maxHolders is how many nodes that received a version are remembered, and maxRedirects
+	// how many of them are named to a requester that gets no slot.
+	maxHolders   = 32
+	maxRedirects = 3
 )
 
 type (
-	// tableVersion is a table up to a version, as a large answer holds it.
+	// tableVersion identifies the content of a large reply.
 	tableVersion struct {
 		table   string
 		version int64
 	}
 
-	// turns lets a few large answers out at a time. Those that have to wait are told who was
-	// answered, and ask there: so the nodes that can be asked double with each turn, and
-	// what one of them has to send does not grow with their number. Forty nodes with
-	// links of 10 Mbit/s that know three to ask had 0.59 MB in 1.8 s without that.
-	turns struct {
-		free chan struct{} // free has an entry for each answer that may begin.
+	// replyLimiter limits concurrent large replies. Other requesters are redirected to nodes
+	// that have received the table: the number of sources doubles with each round, and the load
+	// of one source does not grow with the number of nodes. Without redirects, 0.59 MB took
+	// 1.8 s to reach forty nodes with 10 Mbit/s links and three known sources.
+	replyLimiter struct {
+		slots chan struct{} // slots has an entry for each free slot.
 
 		mu      sync.Mutex
-		holders map[string]holders // holders is by table.
+		holders map[string]holders // holders is keyed by table.
 	}
 
-	// holders are the nodes that were given a version of a table, the latest last.
+	// holders lists the nodes that received a version of a table, the most recent last.
 	holders struct {
 		version   int64
 		addresses []string
 	}
 
-	// largeReply is a large answer; its turn ends when it is sent.
+	// largeReply is a large reply, which frees its slot once sent.
 	largeReply struct {
 		*TableReply
 		sent func()
 	}
 )
 
-// Sent is called once the answer was written, or could not be.
+// Sent is called after the reply was written or writing failed.
 func (r *largeReply) Sent() { r.sent() }
 
-// newTurns returns turns of which none is taken.
-func newTurns() *turns {
-	t := &turns{free: make(chan struct{}, answersMost), holders: map[string]holders{}}
-	for range answersMost {
-		t.free <- struct{}{}
+// newReplyLimiter returns a limiter with all slots free.
+func newReplyLimiter() *replyLimiter {
+	l := &replyLimiter{slots: make(chan struct{}, maxLargeReplies), holders: map[string]holders{}}
+	for range maxLargeReplies {
+		l.slots <- struct{}{}
 	}
-	return t
+	return l
 }
 
-// take waits for a turn where nobody else can be asked, and reports whether it came. If it
-// did not, others may have what is asked for.
-func (t *turns) take(ctx context.Context, v tableVersion) (ok bool, others []string) {
+// acquire takes a slot, and waits for one if no other node has the version. If it fails, it
+// returns nodes that may have the version.
+func (l *replyLimiter) acquire(ctx context.Context, v tableVersion) (ok bool, holders []string) {
 	select {
-	case <-t.free:
+	case <-l.slots:
 		return true, nil
 	default:
 	}
-	if others := t.others(v); len(others) > 0 {
-		return false, others
+	if holders := l.redirects(v); len(holders) > 0 {
+		return false, holders
 	}
-	late := time.NewTimer(turnWait)
-	defer late.Stop()
+	timer := time.NewTimer(slotWait)
+	defer timer.Stop()
 	select {
-	case <-t.free:
+	case <-l.slots:
 		return true, nil
-	case <-late.C:
+	case <-timer.C:
 	case <-ctx.Done():
 	}
-	return false, t.others(v)
+	return false, l.redirects(v)
 }
 
-// end ends the turn of an answer to an asker, who may be asked from now on.
-func (t *turns) end(v tableVersion, asker string) {
-	t.free <- struct{}{}
-	if asker == "" {
+// release frees the slot of a reply and adds its requester to the holders.
+func (l *replyLimiter) release(v tableVersion, requester string) {
+	l.slots <- struct{}{}
+	if requester == "" {
 		return
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	h := t.holders[v.table]
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	h := l.holders[v.table]
 	switch {
 	case h.version > v.version:
-		return // Nobody asks for it any more.
+		return // A newer version has superseded it.
 	case h.version < v.version:
 		h = holders{version: v.version}
 	}
-	h.addresses = append(h.addresses, asker)
-	h.addresses = h.addresses[max(0, len(h.addresses)-othersKept):]
-	t.holders[v.table] = h
+	h.addresses = append(h.addresses, requester)
+	h.addresses = h.addresses[max(0, len(h.addresses)-maxHolders):]
+	l.holders[v.table] = h
 }
 
-// others returns some of the nodes that have what is asked for.
-func (t *turns) others(v tableVersion) []string {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	h := t.holders[v.table]
+// redirects returns some of the nodes that have a version.
+func (l *replyLimiter) redirects(v tableVersion) []string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	h := l.holders[v.table]
 	if h.version != v.version {
 		return nil
 	}
 	var out []string
-	for _, i := range rand.Perm(len(h.addresses))[:min(len(h.addresses), othersTold)] {
+	for _, i := range rand.Perm(len(h.addresses))[:min(len(h.addresses), maxRedirects)] {
 		out = append(out, h.addresses[i])
 	}
 	return out
