--- a/internal/edge/absence.go
+++ b/internal/edge/absence.go
@@ -51,8 +51,8 @@
 // where other nodes do the reading. One call for each table returns what peers would pass on a
 // second or more later.
 func (e *Edge) refreshTables(ctx context.Context) {
-	config := &feed.Reader{Table: e.configTable, Source: e.store, Proven: e.configProven, Lost: e.storeFailed, Log: e.log}
-	engines := &feed.Reader{Table: e.engineTable, Source: e.store, Proven: e.storeAnswered, Lost: e.storeFailed, Log: e.log}
+	config := &feed.Reader{Table: e.configTable, Source: e.store, OnSuccess: e.configProven, OnFailure: e.storeFailed, Log: e.log}
+	engines := &feed.Reader{Table: e.engineTable, Source: e.store, OnSuccess: e.storeAnswered, OnFailure: e.storeFailed, Log: e.log}
 	var backoff pause.Backoff
 	for ctx.Err() == nil && !e.proof.Fresh(clock.Now()) {
 		err := config.Read(ctx)
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -186,7 +186,7 @@
 	e.budget = retry.New(now, retryLimits(s), e.nodeCount)
 	e.egress = platform.NewEgress()
 	e.traffic = &peer.Traffic{}
-	e.peerClient = peer.NewClient(e.traffic, peer.WithIdleTimeout(feed.PullSilence))
+	e.peerClient = peer.NewClient(e.traffic, peer.WithIdleTimeout(feed.PullIdleTimeout))
 	e.discovery = discovery.New(platform.Engine, engineSink{e.placement, e.egress, e.limits}, ms(s.EngineDrainMs), e.log)
 	e.permits = limit.NewPermits(e.limits, e.peerClient, e.permitIssuer, e.gossip.ReachableShare, e.log)
 	e.dispatcher = dispatch.New(e.proof, e.placement, e.budget, e.egress, e.metrics, e.log, dispatch.WithProber(e.egress), dispatch.WithQuarantine(e.quarantine), dispatch.WithLeavers(e.discovery), dispatch.WithPermits(e.permits))
@@ -196,7 +196,7 @@
 	e.engineTable = feed.NewTable(platform.TableEngines, e.discovery.Take)
 	e.follower = feed.NewFollower(s.PeerAddress, e.peerClient, e.log, e.configTable, e.engineTable)
 	e.peerServer = peer.NewServer(listener, e.traffic, e.log)
-	e.peerServer.Handle(feed.MethodTable, peer.Typed(e.follower.Answer))
+	e.peerServer.Handle(feed.MethodTable, peer.Typed(e.follower.HandleTable))
 	e.peerServer.Handle(limit.MethodPermit, peer.Typed(e.permits.HandleRequest))
 	e.duties = e.newDuties(now)
 	return nil
@@ -223,8 +223,8 @@
 			return err
 		}
 	}
-	config := &feed.Reader{Table: e.configTable, Source: e.store, Wait: configLongPoll, Wanted: e.shouldRead, Proven: e.configProven, Lost: e.storeFailed, Wake: e.wakeConfig, Log: e.log}
-	engines := &feed.Reader{Table: e.engineTable, Source: e.store, Wait: scaleMs(enginesLongPollShare, s.EngineDrainMs), Wanted: e.shouldRead, Proven: e.storeAnswered, Lost: e.storeFailed, Wake: e.wakeEngines, Log: e.log}
+	config := &feed.Reader{Table: e.configTable, Source: e.store, Wait: configLongPoll, ShouldRead: e.shouldRead, OnSuccess: e.configProven, OnFailure: e.storeFailed, Wake: e.wakeConfig, Log: e.log}
+	engines := &feed.Reader{Table: e.engineTable, Source: e.store, Wait: scaleMs(enginesLongPollShare, s.EngineDrainMs), ShouldRead: e.shouldRead, OnSuccess: e.storeAnswered, OnFailure: e.storeFailed, Wake: e.wakeEngines, Log: e.log}
 	e.removeClockHook = clock.OnResume(e.afterAbsence)
 	e.startGoroutine(func() { e.handleAbsences(ctx) })
 	e.startGoroutine(e.peerServer.Serve)
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -268,15 +268,15 @@
 		return []feed.Row{{Table: platform.TableConfig, Key: "config", Value: []byte(value), Version: version}}
 	}
 	for i, bad := range []string{"\xff\x00", "", `{"version":4}`, strings.Replace(configRow, `"kind":"safe"`, `"kind":7`, 1), configRow[:len(configRow)-1]} {
-		e.configTable.Change(time.Now(), row(bad, int64(10+i)))
+		e.configTable.Apply(time.Now(), row(bad, int64(10+i)))
 		if e.dispatcher.Version() != 3 || !e.Ready(time.Now()) || e.configsRefused.Load() != int64(i+1) {
 			t.Errorf("after %q: version %d, ready %v, %d refused", bad, e.dispatcher.Version(), e.Ready(time.Now()), e.configsRefused.Load())
 		}
 	}
-	if last, _ := e.configTable.Last(); last != 14 {
+	if last, _ := e.configTable.Latest(); last != 14 {
 		t.Errorf("the table is at version %d, want 14: a rejected row must not be requested from peers again", last)
 	}
-	e.configTable.Change(time.Now(), row(strings.Replace(configRow, `"version":3`, `"version":5`, 1), 20))
+	e.configTable.Apply(time.Now(), row(strings.Replace(configRow, `"version":3`, `"version":5`, 1), 20))
 	if e.dispatcher.Version() != 5 {
 		t.Errorf("version %d after a valid configuration, want 5", e.dispatcher.Version())
 	}
--- a/internal/edge/evacuation_test.go
+++ b/internal/edge/evacuation_test.go
@@ -26,7 +26,7 @@
 		_, ok := e.placement.Choose(now, placement.Request{Pool: "p"})
 		return ok
 	}
-	e.configTable.Change(now, []feed.Row{evacuationRow("h2", 20, false)})
+	e.configTable.Apply(now, []feed.Row{evacuationRow("h2", 20, false)})
 	if open() || !e.placement.Present("p")["h2"].Evacuated {
 		t.Error("an engine in an evacuated hall is chosen or shown as serving")
 	}
@@ -42,7 +42,7 @@
 	if !open() || len(e.evacuationRows(now)) > 0 {
 		t.Error("the hall stays evacuated after its row was removed")
 	}
-	e.configTable.Change(now, []feed.Row{evacuationRow("h2", 22, false), evacuationRow("h2", 23, true)})
+	e.configTable.Apply(now, []feed.Row{evacuationRow("h2", 22, false), evacuationRow("h2", 23, true)})
 	if !open() || e.dispatcher.Version() != 3 || e.configsRefused.Load() > 0 {
 		t.Errorf("after both rows at once: open %v, configuration %d, %d refused", open(), e.dispatcher.Version(), e.configsRefused.Load())
 	}
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -46,9 +46,9 @@
 		telemetry.Observed{Name: "croftturn.edge.requests_held", Help: "requests that get no engine, since engines ended under them", Read: func() int64 { return e.quarantine.Len() }},
 		telemetry.Observed{Name: "croftturn.edge.engines_limited", Help: "engines that have named a limit of requests", Read: func() int64 { return e.limits.Len() }},
 		telemetry.Observed{Name: "croftturn.edge.engines_resting", Help: "engines that asked this node for rest", Read: func() int64 { return int64(e.placement.Resting(clock.Now())) }},
-		telemetry.Observed{Name: "croftturn.edge.tables_given", Help: "tables given to peers", Read: func() int64 { return e.follower.Pulls().Given }},
-		telemetry.Observed{Name: "croftturn.edge.tables_taken", Help: "tables taken from peers", Read: func() int64 { return e.follower.Pulls().Taken }},
-		telemetry.Observed{Name: "croftturn.edge.tables_failed", Help: "tables asked of peers in vain", Read: func() int64 { return e.follower.Pulls().Failed }},
+		telemetry.Observed{Name: "croftturn.edge.tables_given", Help: "tables given to peers", Read: func() int64 { return e.follower.PullStats().Served }},
+		telemetry.Observed{Name: "croftturn.edge.tables_taken", Help: "tables taken from peers", Read: func() int64 { return e.follower.PullStats().Fetched }},
+		telemetry.Observed{Name: "croftturn.edge.tables_failed", Help: "tables asked of peers in vain", Read: func() int64 { return e.follower.PullStats().Failed }},
 		telemetry.Observed{Name: "croftturn.edge.peer_bytes_out", Help: "bytes sent in calls of peers", Read: func() int64 { return e.traffic.BytesOut.Load() }},
 		telemetry.Observed{Name: "croftturn.edge.peer_bytes_in", Help: "bytes received in calls of peers", Read: func() int64 { return e.traffic.BytesIn.Load() }},
 	)
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -76,7 +76,7 @@
 	e.limits.MergeGossip(now, s.Limits)
 	e.discovery.HearLeaving(now, s.Leaving)
 	e.receiveHolder(now, s.Holder)
-	e.follower.Heard(p.PeerAddress, s.Versions)
+	e.follower.ObserveVersions(p.PeerAddress, s.Versions)
 	if s.ProofAgeMs >= 0 && !received.IsZero() && s.ConfigVersion > 0 && s.ConfigVersion <= e.dispatcher.Version() {
 		e.proof.Renew(received.Add(-time.Duration(s.ProofAgeMs) * time.Millisecond))
 	}
--- a/internal/feed/bundle_test.go
+++ b/internal/feed/bundle_test.go
@@ -38,7 +38,7 @@
 	if forwarded := bundleOf(t, to, -1); &forwarded[0] != &first[0] {
 		t.Error("a received bundle is compressed again")
 	}
-	to.Change(now, []Row{{Table: "t", Key: "k0", Value: noisy(90), Version: 301}})
+	to.Apply(now, []Row{{Table: "t", Key: "k0", Value: noisy(90), Version: 301}})
 	if changed := bundleOf(t, to, -1); &changed[0] == &first[0] {
 		t.Error("the bundle is unchanged after a row changed")
 	}
@@ -48,7 +48,7 @@
 	if _, err := (&TableReply{Bundle: first[:len(first)/2]}).decodeRows(); err == nil {
 		t.Error("a truncated bundle is accepted")
 	}
-	if plain, err := buildReply(from, &TableRequest{Table: "t", After: -1, Packed: true}); err != nil || plain.Bundle != nil || len(plain.Rows) != 300 {
+	if plain, err := buildReply(from, &TableRequest{Table: "t", After: -1, AcceptsCompressed: true}); err != nil || plain.Bundle != nil || len(plain.Rows) != 300 {
 		t.Errorf("an older peer gets %d rows, %v", len(plain.Rows), err)
 	}
 }
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -64,10 +64,10 @@
 	s := &sink{}
 	table := feed.NewTable("t", s.take)
 	table.Replace(start, feed.Snapshot{Rows: []feed.Row{row("a", "1", 1), row("b", "1", 2)}, Version: 5})
-	table.Change(start, []feed.Row{row("a", "3", 9)})
-	table.Change(start, []feed.Row{row("a", "2", 7)})
-	table.Change(start, []feed.Row{{Table: "t", Key: "b", Version: 8, Deleted: true}})
-	table.Change(start, []feed.Row{row("b", "1", 2)})
+	table.Apply(start, []feed.Row{row("a", "3", 9)})
+	table.Apply(start, []feed.Row{row("a", "2", 7)})
+	table.Apply(start, []feed.Row{{Table: "t", Key: "b", Version: 8, Deleted: true}})
+	table.Apply(start, []feed.Row{row("b", "1", 2)})
 	table.Replace(start, feed.Snapshot{Rows: []feed.Row{row("a", "1", 1)}, Version: 6})
 	if got := s.live(); len(got) != 1 || got["a"] != "3" || s.stale > 0 {
 		t.Errorf("got %v, %d stale rows", got, s.stale)
@@ -80,7 +80,7 @@
 	s := &sink{}
 	table := feed.NewTable("t", s.take)
 	table.Replace(start, feed.Snapshot{Rows: []feed.Row{row("a", "1", 1), row("b", "1", 2)}, Version: 3})
-	table.Change(start, []feed.Row{row("c", "1", 20)})
+	table.Apply(start, []feed.Row{row("c", "1", 20)})
 	table.Replace(start, feed.Snapshot{Rows: []feed.Row{row("a", "1", 1)}, Version: 10})
 	if got := s.live(); len(got) != 2 || got["a"] == "" || got["c"] == "" {
 		t.Errorf("got %v, want a and c", got)
@@ -95,7 +95,7 @@
 	if f == nil {
 		return errors.New("not there")
 	}
-	reply, err := f.Answer(ctx, params.(*feed.TableRequest))
+	reply, err := f.HandleTable(ctx, params.(*feed.TableRequest))
 	if err != nil {
 		return err
 	}
@@ -128,10 +128,10 @@
 			key := fmt.Sprint("k", rnd.IntN(8))
 			if rnd.IntN(3) == 0 {
 				delete(truth, key)
-				tables[0].Change(start, []feed.Row{{Table: "t", Key: key, Version: version, Deleted: true}})
+				tables[0].Apply(start, []feed.Row{{Table: "t", Key: key, Version: version, Deleted: true}})
 			} else {
 				truth[key] = fmt.Sprint(step)
-				tables[0].Change(start, []feed.Row{row(key, fmt.Sprint(step), version)})
+				tables[0].Apply(start, []feed.Row{row(key, fmt.Sprint(step), version)})
 			}
 			deliverVersions(net, rnd.IntN(5), rnd.IntN(5))
 		}
@@ -151,7 +151,7 @@
 // deliverVersions tells one node another's versions and waits for its fetches.
 func deliverVersions(net directCaller, from, to int) {
 	f := net[fmt.Sprint(to)]
-	f.Heard(fmt.Sprint(from), net[fmt.Sprint(from)].Versions())
+	f.ObserveVersions(fmt.Sprint(from), net[fmt.Sprint(from)].Versions())
 	f.Wait()
 }
 
@@ -178,7 +178,7 @@
 }
 
 // TestReaderRereadsLostHistory checks that the reader lists the full table after
-// history is gone, that a row deleted in the gap is dropped, and that Proven is
+// history is gone, that a row deleted in the gap is dropped, and that OnSuccess is
 // called only for successful calls.
 func TestReaderRereadsLostHistory(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
@@ -200,8 +200,8 @@
 		return feed.Snapshot{Version: 9}, nil
 	}
 	r := &feed.Reader{
-		Table: feed.NewTable("t", s.take), Source: source, Wanted: func(time.Time) bool { return true },
-		Proven: func(time.Time) { successes++ }, Lost: func(time.Time) { failures++ }, Log: quiet,
+		Table: feed.NewTable("t", s.take), Source: source, ShouldRead: func(time.Time) bool { return true },
+		OnSuccess: func(time.Time) { successes++ }, OnFailure: func(time.Time) { failures++ }, Log: quiet,
 	}
 	r.Run(ctx)
 	if got := fmt.Sprint(source.calls); got != "[list after 4 list list after 9]" {
@@ -219,11 +219,11 @@
 	a, b := feed.NewTable("t", mine.take), feed.NewTable("t", theirs.take)
 	a.Replace(start, feed.Snapshot{Rows: []feed.Row{row("x", "1", 1)}, Version: 1})
 	b.Replace(start, feed.Snapshot{Rows: []feed.Row{row("x", "1", 1)}, Version: 1})
-	b.Change(start, []feed.Row{row("y", "1", 5)}) // Only the peer saw y before it was deleted.
+	b.Apply(start, []feed.Row{row("y", "1", 5)}) // Only the peer saw y before it was deleted.
 	a.Replace(start, feed.Snapshot{Rows: []feed.Row{row("x", "2", 9)}, Version: 9})
 	net := directCaller{"a": feed.NewFollower("a", directCaller{}, quiet, a)}
 	f := feed.NewFollower("b", net, quiet, b)
-	f.Heard("a", map[string]int64{"t": 9})
+	f.ObserveVersions("a", map[string]int64{"t": 9})
 	f.Wait()
 	if got := theirs.live(); len(got) != 1 || got["x"] != "2" {
 		t.Errorf("the peer has %v, want only x", got)
@@ -246,7 +246,7 @@
 	}
 	s := &sink{}
 	r := &feed.Reader{
-		Table: feed.NewTable("t", s.take), Source: source, Wanted: func(time.Time) bool { return true }, Lost: func(time.Time) {}, Log: quiet,
+		Table: feed.NewTable("t", s.take), Source: source, ShouldRead: func(time.Time) bool { return true }, OnFailure: func(time.Time) {}, Log: quiet,
 	}
 	r.Run(ctx)
 	if got := len(source.calls); got > 8 || s.live()["a"] != fmt.Sprint(changes) {
--- a/internal/feed/follower.go
+++ b/internal/feed/follower.go
@@ -18,14 +18,14 @@
 	MethodTable = "table"
 
 	// pullTimeout limits one such call to the time that the store's largest reply takes over a
-	// 10 Mbit/s link. PullSilence ends a call to a silent peer.
+	// 10 Mbit/s link. PullIdleTimeout ends a call to a silent peer.
 	pullTimeout = 7 * time.Second
 
-	// PullSilence is how long a peer may send nothing during such a call: twice the time that a
+	// PullIdleTimeout is how long a peer may send nothing during such a call: twice the time that a
 	// call may wait there for a reply slot. A slow pull is not cut short, since all of it would have
 	// to be sent again: with a limit of one second, pulls of 0.75 MB from small nodes failed 454
 	// times in 10 s and kept those nodes busy.
-	PullSilence = 500 * time.Millisecond
+	PullIdleTimeout = 500 * time.Millisecond
 
 	// busyRetryDelay is the typical delay after a busy reply: a reply of 80 KB takes 66 ms over
 	// 10 Mbit/s, after which a reply slot is free.
@@ -45,21 +45,21 @@
 
 	// TableRequest asks a peer for the changes in a table.
 	TableRequest struct {
-		Table  string `json:"t"`
-		After  int64  `json:"a"`           // After is the requester's version; -1 for the full table.
-		Packed bool   `json:"p,omitempty"` // Packed is set if the requester accepts compressed rows; older peers do not.
-		Bundle bool   `json:"b,omitempty"` // Bundle is set if the requester accepts a bundle; older peers do not.
-		Asker  string `json:"f,omitempty"` // Asker is the requester's address, to which later requesters may be redirected.
+		Table             string `json:"t"`
+		After             int64  `json:"a"`           // After is the requester's version; -1 for the full table.
+		AcceptsCompressed bool   `json:"p,omitempty"` // AcceptsCompressed is set if the requester accepts compressed rows; older peers do not.
+		AcceptsBundle     bool   `json:"b,omitempty"` // AcceptsBundle is set if the requester accepts a bundle; older peers do not.
+		Requester         string `json:"f,omitempty"` // Requester is the requester's address, to which later requesters may be redirected.
 	}
 
 	// TableReply is a peer's reply to a TableRequest.
 	TableReply struct {
-		Rows   []PeerRow `json:"r,omitempty"`
-		Bundle []byte    `json:"z,omitempty"` // Bundle holds the rows, compressed together, in place of Rows.
-		Last   int64     `json:"l"`           // Last is the newest version among the peer's rows.
-		Whole  bool      `json:"w,omitempty"` // Whole is set if the reply holds the full table.
-		Busy   bool      `json:"b,omitempty"` // Busy is set if the peer has no reply slot free; Rows is empty.
-		Others []string  `json:"o,omitempty"` // Others are addresses of nodes to which a busy peer has sent the table.
+		Rows    []PeerRow `json:"r,omitempty"`
+		Bundle  []byte    `json:"z,omitempty"` // Bundle holds the rows, compressed together, in place of Rows.
+		Latest  int64     `json:"l"`           // Latest is the newest version among the peer's rows.
+		Full    bool      `json:"w,omitempty"` // Full is set if the reply holds the full table.
+		Busy    bool      `json:"b,omitempty"` // Busy is set if the peer has no reply slot free; Rows is empty.
+		Holders []string  `json:"o,omitempty"` // Holders are addresses of nodes to which a busy peer has sent the table.
 	}
 
 	// Follower fetches tables from peers that announce newer versions.
@@ -79,11 +79,11 @@
 		served, fetched, failed atomic.Int64
 	}
 
-	// Pulls counts table transfers between peers.
-	Pulls struct {
-		Given  int64 // Given counts tables sent to peers.
-		Taken  int64 // Taken counts tables received from peers.
-		Failed int64 // Failed counts failed fetches.
+	// PullStats counts table transfers between peers.
+	PullStats struct {
+		Served  int64 // Served counts tables sent to peers.
+		Fetched int64 // Fetched counts tables received from peers.
+		Failed  int64 // Failed counts failed fetches.
 	}
 )
 
@@ -110,21 +110,21 @@
 func (f *Follower) Versions() map[string]int64 {
 	out := map[string]int64{}
 	for name, t := range f.tables {
-		if last, ok := t.Last(); ok {
+		if last, ok := t.Latest(); ok {
 			out[name] = last
 		}
 	}
 	return out
 }
 
-// Heard starts a fetch of each table of which the peer announces a newer version.
-func (f *Follower) Heard(address string, versions map[string]int64) {
+// ObserveVersions starts a fetch of each table of which the peer announces a newer version.
+func (f *Follower) ObserveVersions(address string, versions map[string]int64) {
 	for name, theirs := range versions {
 		t := f.tables[name]
 		if t == nil {
 			continue
 		}
-		if mine, ok := t.Last(); ok && mine >= theirs {
+		if mine, ok := t.Latest(); ok && mine >= theirs {
 			continue
 		}
 		f.pull(address, t, theirs)
@@ -177,7 +177,7 @@
 // nextSource removes and returns a random peer among those with a newer version of a table.
 // If there is none, the fetch is over.
 func (f *Follower) nextSource(t *Table) (address string, ok bool) {
-	mine, loaded := t.Last()
+	mine, loaded := t.Latest()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	sources := f.sources[t.Name()]
@@ -206,8 +206,8 @@
 func (f *Follower) fetch(address string, t *Table, begin time.Time) error {
 	ctx, cancel := context.WithTimeout(f.ctx, pullTimeout)
 	defer cancel()
-	req := TableRequest{Table: t.Name(), After: -1, Packed: true, Bundle: true, Asker: f.self}
-	if last, ok := t.Last(); ok {
+	req := TableRequest{Table: t.Name(), After: -1, AcceptsCompressed: true, AcceptsBundle: true, Requester: f.self}
+	if last, ok := t.Latest(); ok {
 		req.After = last
 	}
 	var reply TableReply
@@ -215,7 +215,7 @@
 		return fmt.Errorf("request table: %w", err)
 	}
 	if reply.Busy {
-		return &busyError{version: reply.Last, holders: reply.Others}
+		return &busyError{version: reply.Latest, holders: reply.Holders}
 	}
 	rows, err := reply.decodeRows()
 	if err != nil {
@@ -223,7 +223,7 @@
 	}
 	now := clock.Now()
 	f.recordFetch(t, address, &reply, len(rows), now.Sub(begin))
-	if reply.Whole {
+	if reply.Full {
 		t.replaceFromReply(now, rows, &reply)
 		return nil
 	}
@@ -240,13 +240,13 @@
 	}
 }
 
-// Pulls returns the counts so far.
-func (f *Follower) Pulls() Pulls {
-	return Pulls{Given: f.served.Load(), Taken: f.fetched.Load(), Failed: f.failed.Load()}
+// PullStats returns the counts so far.
+func (f *Follower) PullStats() PullStats {
+	return PullStats{Served: f.served.Load(), Fetched: f.fetched.Load(), Failed: f.failed.Load()}
 }
 
-// Answer is the handler of MethodTable. A large reply waits for a reply slot.
-func (f *Follower) Answer(ctx context.Context, req *TableRequest) (any, error) {
+// HandleTable is the handler of MethodTable. A large reply waits for a reply slot.
+func (f *Follower) HandleTable(ctx context.Context, req *TableRequest) (any, error) {
 	t := f.tables[req.Table]
 	if t == nil {
 		return nil, fmt.Errorf("no table %q", req.Table)
@@ -259,24 +259,24 @@
 		f.served.Add(1)
 		return reply, nil
 	}
-	v := tableVersion{table: req.Table, version: reply.Last}
+	v := tableVersion{table: req.Table, version: reply.Latest}
 	if ok, holders := f.limiter.acquire(ctx, v); !ok {
-		return &TableReply{Last: reply.Last, Busy: true, Others: holders}, nil
+		return &TableReply{Latest: reply.Latest, Busy: true, Holders: holders}, nil
 	}
 	f.served.Add(1)
-	return &largeReply{TableReply: reply, sent: func() { f.limiter.release(v, req.Asker) }}, nil
+	return &largeReply{TableReply: reply, sent: func() { f.limiter.release(v, req.Requester) }}, nil
 }
 
 // buildReply returns a table's reply to a request.
 func buildReply(t *Table, req *TableRequest) (*TableReply, error) {
-	if req.Bundle {
+	if req.AcceptsBundle {
 		return t.bundledSince(req.After)
 	}
 	reply, err := changesSince(t, req.After)
 	if err != nil {
 		return nil, err
 	}
-	if req.Packed {
+	if req.AcceptsCompressed {
 		return reply, nil
 	}
 	rows, err := decompressRows(reply.Rows)
@@ -284,7 +284,7 @@
 		return nil, err
 	}
 	for i := range rows {
-		rows[i].Packed = nil
+		rows[i].Compressed = nil
 	}
 	reply.Rows = rows
 	return reply, nil
@@ -296,8 +296,8 @@
 	if after >= 0 {
 		rows, err := t.Since(after)
 		if err == nil {
-			last, _ := t.Last()
-			return &TableReply{Rows: rows, Last: last}, nil
+			last, _ := t.Latest()
+			return &TableReply{Rows: rows, Latest: last}, nil
 		}
 		if !errors.Is(err, ErrHistoryGone) {
 			return nil, err
@@ -307,7 +307,7 @@
 	if !ok {
 		return nil, errors.New("table not known yet")
 	}
-	return &TableReply{Rows: rows, Last: last, Whole: true}, nil
+	return &TableReply{Rows: rows, Latest: last, Full: true}, nil
 }
 
 // Close cancels the fetches in flight and waits for them.
--- a/internal/feed/peer_row.go
+++ b/internal/feed/peer_row.go
@@ -26,7 +26,7 @@
 // separately, forty concurrent requests took two seconds of a small node's processor.
 type PeerRow struct {
 	Row
-	Packed []byte `json:"z,omitempty"` // Packed replaces a large Value.
+	Compressed []byte `json:"z,omitempty"` // Compressed replaces a large Value.
 }
 
 // peerRows converts rows of the store to PeerRows.
@@ -40,14 +40,14 @@
 
 // compress returns the row with a large value replaced by its compressed form.
 func (s PeerRow) compress() PeerRow {
-	if s.Packed == nil && len(s.Value) > compressAbove {
+	if s.Compressed == nil && len(s.Value) > compressAbove {
 		compressed, err := gzipBytes(s.Value, gzip.DefaultCompression)
 		if err != nil {
 			return s // The row is then sent uncompressed.
 		}
-		s.Packed = compressed
+		s.Compressed = compressed
 	}
-	if s.Packed != nil {
+	if s.Compressed != nil {
 		s.Value = nil
 	}
 	return s
@@ -55,11 +55,11 @@
 
 // decompress returns the row with its value restored.
 func (s PeerRow) decompress() (PeerRow, error) {
-	if s.Packed == nil {
+	if s.Compressed == nil {
 		return s, nil
 	}
 	var err error
-	if s.Value, err = gunzipBytes(s.Packed, maxValueBytes); err != nil {
+	if s.Value, err = gunzipBytes(s.Compressed, maxValueBytes); err != nil {
 		return s, fmt.Errorf("unpack %s: %w", s.Key, err)
 	}
 	return s, nil
@@ -112,7 +112,7 @@
 func payloadSize(rows []PeerRow) int {
 	n := 0
 	for _, r := range rows {
-		n += len(r.Value) + len(r.Packed)
+		n += len(r.Value) + len(r.Compressed)
 	}
 	return n
 }
--- a/internal/feed/peer_row_test.go
+++ b/internal/feed/peer_row_test.go
@@ -27,22 +27,22 @@
 // unchanged, that a small one stays uncompressed, and that invalid compressed data is an error.
 func TestLargeRowsAreCompressedOnce(t *testing.T) {
 	small, large := PeerRow{Row: Row{Key: "s", Value: noisy(compressAbove)}}, PeerRow{Row: Row{Key: "l", Value: noisy(compressAbove + 1)}}
-	if got := small.compress(); got.Packed != nil || !bytes.Equal(got.Value, small.Value) {
-		t.Errorf("a small value is compressed: %d bytes", len(got.Packed))
+	if got := small.compress(); got.Compressed != nil || !bytes.Equal(got.Value, small.Value) {
+		t.Errorf("a small value is compressed: %d bytes", len(got.Compressed))
 	}
 	compressed := large.compress()
-	if compressed.Packed == nil || compressed.Value != nil {
+	if compressed.Compressed == nil || compressed.Value != nil {
 		t.Fatal("a large value is not compressed")
 	}
 	back, err := compressed.decompress()
 	if err != nil || !bytes.Equal(back.Value, large.Value) {
 		t.Errorf("a compressed value is restored to %d bytes, %v", len(back.Value), err)
 	}
-	if again := back.compress(); &again.Packed[0] != &compressed.Packed[0] || again.Value != nil {
+	if again := back.compress(); &again.Compressed[0] != &compressed.Compressed[0] || again.Value != nil {
 		t.Error("a compressed value is compressed again")
 	}
-	for _, bad := range [][]byte{{1, 2, 3}, compressed.Packed[:len(compressed.Packed)/2]} {
-		if _, err := (PeerRow{Packed: bad}).decompress(); err == nil {
+	for _, bad := range [][]byte{{1, 2, 3}, compressed.Compressed[:len(compressed.Compressed)/2]} {
+		if _, err := (PeerRow{Compressed: bad}).decompress(); err == nil {
 			t.Errorf("%d bytes of invalid compressed data are accepted", len(bad))
 		}
 	}
@@ -56,7 +56,7 @@
 	if err := w.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := (PeerRow{Packed: bomb.Bytes()}).decompress(); !errors.Is(err, errTooLarge) {
+	if _, err := (PeerRow{Compressed: bomb.Bytes()}).decompress(); !errors.Is(err, errTooLarge) {
 		t.Errorf("%d bytes that decompress to over %d: %v", bomb.Len(), maxValueBytes, err)
 	}
 }
@@ -68,7 +68,7 @@
 	value := noisy(3 * compressAbove)
 	table.Replace(time.Time{}, Snapshot{Rows: []Row{{Table: "t", Key: "l", Value: value, Version: 3}}, Version: 3})
 	for _, accepts := range []bool{false, true} {
-		reply, err := buildReply(table, &TableRequest{Table: "t", After: -1, Packed: accepts})
+		reply, err := buildReply(table, &TableRequest{Table: "t", After: -1, AcceptsCompressed: accepts})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -133,7 +133,7 @@
 func BenchmarkCompress(b *testing.B) {
 	value := benchConfig()
 	for b.Loop() {
-		if got := (PeerRow{Row: Row{Value: value}}).compress(); got.Packed == nil {
+		if got := (PeerRow{Row: Row{Value: value}}).compress(); got.Compressed == nil {
 			b.Fatal("not compressed")
 		}
 	}
--- a/internal/feed/reader.go
+++ b/internal/feed/reader.go
@@ -15,7 +15,7 @@
 	// they come in quick succession, as when engines start; calls to the store are billed.
 	batchDelay = 100 * time.Millisecond
 
-	// idlePollInterval is how often an inactive reader checks Wanted, unless it is
+	// idlePollInterval is how often an inactive reader checks ShouldRead, unless it is
 	// woken.
 	idlePollInterval = 2 * time.Second
 )
@@ -27,21 +27,21 @@
 		Changes(ctx context.Context, table string, after int64, wait time.Duration) (Snapshot, error)
 	}
 
-	// Reader keeps a table up to date from the store while Wanted is true.
+	// Reader keeps a table up to date from the store while ShouldRead is true.
 	Reader struct {
-		Table  *Table
-		Source Source
-		Wait   time.Duration            // Wait is the long-poll duration of a Changes call.
-		Wanted func(now time.Time) bool // Wanted reports whether this node should read.
-		Proven func(at time.Time)       // Proven is called with a time at which the copy was current; may be nil.
-		Lost   func(now time.Time)      // Lost is called after each failed call.
-		Wake   <-chan struct{}          // Wake ends the wait of an inactive reader; it may be nil.
-		Log    *slog.Logger
+		Table      *Table
+		Source     Source
+		Wait       time.Duration            // Wait is the long-poll duration of a Changes call.
+		ShouldRead func(now time.Time) bool // ShouldRead reports whether this node should read.
+		OnSuccess  func(at time.Time)       // OnSuccess is called with a time at which the copy was current; may be nil.
+		OnFailure  func(now time.Time)      // OnFailure is called after each failed call.
+		Wake       <-chan struct{}          // Wake ends the wait of an inactive reader; it may be nil.
+		Log        *slog.Logger
 
 		version    int64 // version is the newest version of all tables that was read.
 		hasVersion bool  // hasVersion is set once version is valid.
 		failing    bool  // failing is set while calls fail.
-		active     bool  // active is the last result of Wanted.
+		active     bool  // active is the last result of ShouldRead.
 		calls      int64 // calls counts the calls so far.
 	}
 )
@@ -75,7 +75,7 @@
 
 // checkActive reports whether this node should read, and logs transitions.
 func (r *Reader) checkActive(now time.Time) bool {
-	active := r.Wanted(now)
+	active := r.ShouldRead(now)
 	if active != r.active {
 		r.Log.Info("store reader changed state", "table", r.Table.Name(), "reads", active, "version", r.version, "calls", r.calls)
 	}
@@ -86,7 +86,7 @@
 // readOnce makes one call and applies its result.
 func (r *Reader) readOnce(ctx context.Context) error {
 	r.calls++
-	if last, ok := r.Table.Last(); ok && last > r.version {
+	if last, ok := r.Table.Latest(); ok && last > r.version {
 		r.version, r.hasVersion = last, true // Peers sent newer rows while this reader was inactive.
 	}
 	if !r.hasVersion {
@@ -102,7 +102,7 @@
 	if err != nil {
 		return err
 	}
-	r.Table.Change(clock.Now(), snap.Rows)
+	r.Table.Apply(clock.Now(), snap.Rows)
 	r.recordSuccess(snap)
 	if len(snap.Rows) > 0 {
 		pause.For(ctx, batchDelay)
@@ -117,8 +117,8 @@
 	}
 	r.failing = false
 	r.version, r.hasVersion = max(r.version, snap.Version), true
-	if r.Proven != nil {
-		r.Proven(snap.AsOf)
+	if r.OnSuccess != nil {
+		r.OnSuccess(snap.AsOf)
 	}
 }
 
@@ -128,5 +128,5 @@
 		r.Log.Warn("store request failed", "table", r.Table.Name(), "version", r.version, "error", err.Error())
 	}
 	r.failing = true
-	r.Lost(now)
+	r.OnFailure(now)
 }
--- a/internal/feed/spread_test.go
+++ b/internal/feed/spread_test.go
@@ -119,7 +119,7 @@
 	calls := peer.NewClient(&peer.Traffic{})
 	n.follower = feed.NewFollower(n.address, calls, quiet, n.table)
 	server := peer.NewServer(&link{Listener: l}, &peer.Traffic{}, quiet)
-	server.Handle(feed.MethodTable, peer.Typed(n.follower.Answer))
+	server.Handle(feed.MethodTable, peer.Typed(n.follower.HandleTable))
 	go server.Serve()
 	t.Cleanup(func() {
 		if err := n.follower.Close(); err != nil {
@@ -150,7 +150,7 @@
 	for {
 		for _, o := range others {
 			if o != n {
-				o.follower.Heard(n.address, n.follower.Versions())
+				o.follower.ObserveVersions(n.address, n.follower.Versions())
 			}
 		}
 		select {
@@ -199,7 +199,7 @@
 	defer announcing.Wait()
 	defer cancel()
 	begin := time.Now()
-	nodes[0].table.Change(begin, []feed.Row{{Table: "t", Key: "config", Value: value, Version: 10}})
+	nodes[0].table.Apply(begin, []feed.Row{{Table: "t", Key: "config", Value: value, Version: 10}})
 	for _, n := range nodes[:announcers] {
 		announcing.Go(func() { n.announce(ctx, nodes) })
 	}
--- a/internal/feed/table.go
+++ b/internal/feed/table.go
@@ -39,8 +39,8 @@
 
 func (t *Table) Name() string { return t.name }
 
-// Last returns the newest version in the table; ok is false until it is loaded.
-func (t *Table) Last() (latest int64, ok bool) {
+// Latest returns the newest version in the table; ok is false until it is loaded.
+func (t *Table) Latest() (latest int64, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.latest, t.loaded
@@ -73,8 +73,8 @@
 	return wasEmpty, t.generation
 }
 
-// Change applies changed rows.
-func (t *Table) Change(now time.Time, rows []Row) { t.apply(now, peerRows(rows)) }
+// Apply applies changed rows.
+func (t *Table) Apply(now time.Time, rows []Row) { t.apply(now, peerRows(rows)) }
 
 // apply applies changed rows.
 func (t *Table) apply(now time.Time, rows []PeerRow) {
