--- a/internal/queue/fair.go
+++ b/internal/queue/fair.go
@@ -7,28 +7,28 @@
 )
 
 type (
-	// fairQueue shares between teams by virtual time.
+	// fairQueue implements weighted fair queueing between teams.
 	fairQueue struct {
-		teams  map[string]*teamQueue
-		active teamHeap
-		clock  float64
+		teams       map[string]*teamQueue
+		active      teamHeap
+		virtualTime float64
 	}
 
-	// teamQueue holds one team's requests, oldest first.
+	// teamQueue holds a team's requests, oldest first.
 	teamQueue struct {
 		fair   *fairQueue
 		name   string
 		items  *list.List
-		finish float64 // finish is the virtual time at which the team's turn comes.
+		finish float64 // finish is the virtual time that orders the team among the others.
 		index  int
 	}
 
-	// teamHeap orders teams by their turn.
+	// teamHeap orders teams by virtual finish time.
 	teamHeap []*teamQueue
 )
 
-// push adds a request to its team's list; a team that had none takes its turn
-// no earlier than the present virtual time.
+// push adds a request to its team's list. A team that was idle starts no earlier
+// than the current virtual time.
 func (f *fairQueue) push(it *Item) {
 	t := f.teams[it.Team]
 	if t == nil {
@@ -36,15 +36,15 @@
 		f.teams[it.Team] = t
 	}
 	it.team = t
-	it.place = insertByArrival(t.items, it)
+	it.teamElem = insertByArrival(t.items, it)
 	if t.items.Len() == 1 {
-		t.finish = math.Max(t.finish, f.clock)
+		t.finish = math.Max(t.finish, f.virtualTime)
 		heap.Push(&f.active, t)
 	}
 }
 
-// insertByArrival puts a request into a list that is kept oldest first, and
-// returns its place. Most come in order and go to the back.
+// insertByArrival inserts a request into a list sorted oldest first and returns
+// its element. It searches from the back, since most requests arrive in order.
 func insertByArrival(l *list.List, it *Item) *list.Element {
 	at := l.Back()
 	for at != nil && at.Value.(*Item).Arrived.After(it.Arrived) {
@@ -56,7 +56,7 @@
 	return l.InsertAfter(it, at)
 }
 
-// front returns the oldest request of the team whose turn it is, or nil.
+// front returns the oldest request of the team that is next, or nil.
 func (f *fairQueue) front() *Item {
 	if len(f.active) == 0 {
 		return nil
@@ -64,41 +64,41 @@
 	return f.active[0].items.Front().Value.(*Item)
 }
 
-// remove takes a request out of the team's list.
+// remove removes a request from the team's list.
 func (t *teamQueue) remove(it *Item) {
-	t.items.Remove(it.place)
+	t.items.Remove(it.teamElem)
 	if t.items.Len() > 0 {
 		return
 	}
 	heap.Remove(&t.fair.active, t.index)
-	if t.finish <= t.fair.clock {
+	if t.finish <= t.fair.virtualTime {
 		delete(t.fair.teams, t.name)
 	}
 }
 
-// charge moves a team's turn back by the work it got.
+// charge advances a team's finish time by the request's cost over its weight.
 func (t *teamQueue) charge(it *Item) {
-	t.fair.clock = math.Max(t.fair.clock, t.finish)
-	t.finish = math.Max(t.finish, t.fair.clock) + it.Cost/it.Weight
+	t.fair.virtualTime = math.Max(t.fair.virtualTime, t.finish)
+	t.finish = math.Max(t.finish, t.fair.virtualTime) + it.Cost/it.Weight
 	if t.items.Len() > 0 {
 		heap.Fix(&t.fair.active, t.index)
 		return
 	}
 	t.fair.teams[t.name] = t
-	t.fair.forget()
+	t.fair.dropIdle()
 }
 
-// forgetAt is how many idle teams a fairQueue keeps before it forgets those
-// whose turn would be due anyway.
-const forgetAt = 1024
+// maxIdleTeams is how many idle teams a fairQueue keeps before it drops those
+// whose finish time has passed.
+const maxIdleTeams = 1024
 
-// forget drops idle teams that are owed nothing and owe nothing.
-func (f *fairQueue) forget() {
-	if len(f.teams) < forgetAt+2*len(f.active) {
+// dropIdle drops idle teams whose finish time has passed, if there are too many.
+func (f *fairQueue) dropIdle() {
+	if len(f.teams) < maxIdleTeams+2*len(f.active) {
 		return
 	}
 	for name, t := range f.teams {
-		if t.items.Len() == 0 && t.finish <= f.clock {
+		if t.items.Len() == 0 && t.finish <= f.virtualTime {
 			delete(f.teams, name)
 		}
 	}
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -1,7 +1,7 @@
-// Package queue orders the requests that wait for one pool: by tier, then by
-// the smallest shares of classes, then by the fair shares of teams, and within
-// a team those that can still meet their target first. It decides too which
-// request is shed when too many wait.
+// Package queue orders the requests that wait for one pool. Classes below their
+// minimum share go first, then classes by tier. Within a class, requests that can
+// still meet their target go before late ones, and teams share by weighted fair
+// queueing. The package also selects the request to shed when too many wait.
 package queue
 
 import (
@@ -12,23 +12,23 @@
 )
 
 const (
-	// shareHalfLife is the time in which the record of served work halves.
-	shareHalfLife = 10 * time.Second
+	// servedHalfLife is the half-life of the record of served work.
+	servedHalfLife = 10 * time.Second
 
-	// leastWaitPart is the part of a target that a request may always wait,
-	// however long engines take: one in leastWaitPart.
-	leastWaitPart = 4
+	// minWaitDivisor gives the part of its target (target/minWaitDivisor) that a
+	// request may wait before it counts as late, however long engines take.
+	minWaitDivisor = 4
 )
 
 type (
-	// Class is what the queue knows of a service class.
+	// Class configures a service class.
 	Class struct {
 		Name     string
 		Tier     int           // Tier orders classes; 1 is the highest.
-		MinShare float64       // MinShare is the smallest share of served work while the class waits.
-		Limit    int           // Limit bounds how many of the class wait; 0 for none.
-		MaxWait  time.Duration // MaxWait is how long a request may wait.
-		Target   time.Duration // Target is when its first token is due, counted from its arrival; 0 for none.
+		MinShare float64       // MinShare is the minimum share of served work while requests of the class wait.
+		Limit    int           // Limit is the maximum number of waiting requests; 0 for no limit.
+		MaxWait  time.Duration // MaxWait is the maximum waiting time of a request.
+		Target   time.Duration // Target is the target time from arrival to first token; 0 for none.
 	}
 
 	// Item is one waiting request. The exported fields are set before Add.
@@ -36,40 +36,40 @@
 		ID      string
 		Class   string
 		Team    string
-		Weight  float64   // Weight of the team, above 0.
-		Cost    float64   // Cost is the work it is expected to take, in tokens.
-		Arrived time.Time // Arrived is when it first asked, at whichever node.
-		Value   any       // Value belongs to the caller of this package.
+		Weight  float64   // Weight is the team's weight, above 0.
+		Cost    float64   // Cost is the expected work, in tokens.
+		Arrived time.Time // Arrived is when the request first arrived at any node.
+		Value   any       // Value is for the caller's use.
 
-		class *classQueue
-		team  *teamQueue
-		order *list.Element // order is the place among all of the class, by arrival.
-		place *list.Element // place is the place in the team's list.
+		class     *classQueue
+		team      *teamQueue
+		classElem *list.Element // classElem is the element in the class's arrivals.
+		teamElem  *list.Element // teamElem is the element in the team's list.
 	}
 
-	// Queue holds waiting requests. It is not safe for use from many goroutines.
+	// Queue holds waiting requests. It is not safe for concurrent use.
 	Queue struct {
 		limit    int
-		headroom time.Duration // headroom is the part of each target that an engine needs.
-		classes  []*classQueue // classes are ordered by tier, then by name.
+		headroom time.Duration // headroom is the time that an engine takes to the first token.
+		classes  []*classQueue // classes is sorted by tier, then by name.
 		byName   map[string]*classQueue
 		waiting  int
 	}
 
-	// classQueue holds the waiting requests of one class. Those that can still
-	// meet the target are apart from those that can't.
+	// classQueue holds the waiting requests of one class: fresh ones, which can
+	// still meet their target, and late ones, which can't.
 	classQueue struct {
 		Class
-		arrivals *list.List // arrivals holds the fresh and the late, oldest first.
-		fresh    fairQueue
-		late     fairQueue
-		next     *list.Element // next is the oldest fresh request.
-		served   decayed
-		credit   float64 // credit is the work that the smallest share owes the class, in tokens.
+		arrivals    *list.List // arrivals holds fresh and late requests, oldest first.
+		fresh       fairQueue
+		late        fairQueue
+		oldestFresh *list.Element // oldestFresh is the oldest fresh request.
+		served      decayingSum
+		credit      float64 // credit is the work the class is owed by its minimum share, in tokens.
 	}
 
-	// decayed is a sum whose past counts less and less.
-	decayed struct {
+	// decayingSum is an exponentially decaying sum.
+	decayingSum struct {
 		sum float64
 		at  time.Time
 	}
@@ -82,8 +82,8 @@
 	return q
 }
 
-// Configure sets the limit and the classes. Requests of a class that is gone
-// keep waiting under what was last known of it.
+// Configure sets the limit and the classes. A class that is no longer listed
+// keeps its last configuration and its requests.
 func (q *Queue) Configure(limit int, classes []Class) {
 	q.limit = limit
 	for _, c := range classes {
@@ -105,14 +105,14 @@
 	})
 }
 
-// SetHeadroom sets how long an engine takes to the first token: a request that
-// has waited until so long before its target can no longer meet it.
+// SetHeadroom sets how long an engine takes to the first token. A request that
+// still waits this long before its target counts as late.
 func (q *Queue) SetHeadroom(d time.Duration) { q.headroom = d }
 
-// Len returns how many requests wait.
+// Len returns the number of waiting requests.
 func (q *Queue) Len() int { return q.waiting }
 
-// Ahead returns how many requests wait in the same tier or a higher one.
+// Ahead returns the number of waiting requests in the same tier or a higher one.
 func (q *Queue) Ahead(tier int) int {
 	n := 0
 	for _, c := range q.classes {
@@ -123,16 +123,16 @@
 	return n
 }
 
-// insert puts a request into its class's lists by its time of arrival.
+// insert adds a request to its class's lists by arrival time.
 func (q *Queue) insert(now time.Time, c *classQueue, it *Item) {
 	it.class = c
-	it.order = insertByArrival(c.arrivals, it)
+	it.classElem = insertByArrival(c.arrivals, it)
 	if q.isLate(now, it) {
 		c.late.push(it)
 	} else {
 		c.fresh.push(it)
-		if c.next == nil || it.Arrived.Before(c.next.Value.(*Item).Arrived) {
-			c.next = it.order
+		if c.oldestFresh == nil || it.Arrived.Before(c.oldestFresh.Value.(*Item).Arrived) {
+			c.oldestFresh = it.classElem
 		}
 	}
 	q.waiting++
@@ -144,16 +144,16 @@
 	if target <= 0 {
 		return false
 	}
-	return now.Sub(it.Arrived) > max(target-q.headroom, target/leastWaitPart)
+	return now.Sub(it.Arrived) > max(target-q.headroom, target/minWaitDivisor)
 }
 
-// Pop takes the request that goes next, or returns nil where none waits.
+// Pop removes and returns the next request, or nil if none waits.
 func (q *Queue) Pop(now time.Time) *Item {
 	c := q.nextClass(now)
 	if c == nil {
 		return nil
 	}
-	q.ageOut(now, c)
+	q.moveLate(now, c)
 	it := c.fresh.front()
 	if it == nil {
 		it = c.late.front()
@@ -161,29 +161,29 @@
 	q.Remove(it)
 	it.team.charge(it)
 	c.served.add(now, it.Cost)
-	q.settle(c, it.Cost)
+	q.updateCredits(c, it.Cost)
 	return it
 }
 
-// Peek returns the request that Pop would take, without taking it.
+// Peek returns the next request without removing it, or nil if none waits.
 func (q *Queue) Peek(now time.Time) *Item {
 	c := q.nextClass(now)
 	if c == nil {
 		return nil
 	}
-	q.ageOut(now, c)
+	q.moveLate(now, c)
 	if it := c.fresh.front(); it != nil {
 		return it
 	}
 	return c.late.front()
 }
 
-// nextClass returns the class that goes next: the one that is owed most of its
-// smallest share, else the least served of the highest tier that waits.
+// nextClass returns the class to serve next: the one with the largest credit
+// from its minimum share, else the least served waiting class of the highest tier.
 func (q *Queue) nextClass(now time.Time) *classQueue {
 	var best *classQueue
 	for _, c := range q.classes {
-		if c.arrivals.Len() == 0 || !c.owed() {
+		if c.arrivals.Len() == 0 || !c.belowMinShare() {
 			continue
 		}
 		if best == nil || c.credit > best.credit {
@@ -207,10 +207,10 @@
 	return best
 }
 
-// settle credits the waiting classes with their smallest shares of a piece of
-// work, and takes the work off the credit of the class that got it. A class
-// gathers no credit while it does not wait.
-func (q *Queue) settle(got *classQueue, cost float64) {
+// updateCredits credits the waiting classes with their minimum shares of some
+// served work and debits the class that was served. A class with no waiting
+// requests accumulates no credit.
+func (q *Queue) updateCredits(got *classQueue, cost float64) {
 	for _, c := range q.classes {
 		if c.MinShare <= 0 {
 			continue
@@ -228,23 +228,23 @@
 	}
 }
 
-// Owed reports whether a class has got less than its smallest share.
+// Owed reports whether a class got less than its minimum share.
 func (q *Queue) Owed(class string) bool {
 	c := q.byName[class]
-	return c != nil && c.owed()
+	return c != nil && c.belowMinShare()
 }
 
-// owed reports whether a class has got less than its smallest share.
-func (c *classQueue) owed() bool { return c.MinShare > 0 && c.credit > 0 }
+// belowMinShare reports whether the class got less than its minimum share.
+func (c *classQueue) belowMinShare() bool { return c.MinShare > 0 && c.credit > 0 }
 
-// ageOut moves requests that have become late behind the fresh ones.
-func (q *Queue) ageOut(now time.Time, c *classQueue) {
-	for c.next != nil {
-		it := c.next.Value.(*Item)
+// moveLate moves requests that have become late from fresh to late.
+func (q *Queue) moveLate(now time.Time, c *classQueue) {
+	for c.oldestFresh != nil {
+		it := c.oldestFresh.Value.(*Item)
 		if !q.isLate(now, it) {
 			return
 		}
-		c.next = c.next.Next()
+		c.oldestFresh = c.oldestFresh.Next()
 		if it.team.fair == &c.fresh {
 			it.team.remove(it)
 			c.late.push(it)
@@ -252,23 +252,23 @@
 	}
 }
 
-// Remove takes a request out of the queue, such as when its caller has gone.
+// Remove removes a request, such as when its caller has disconnected.
 func (q *Queue) Remove(it *Item) {
-	if it.order == nil {
+	if it.classElem == nil {
 		return
 	}
 	c := it.class
-	if c.next == it.order {
-		c.next = it.order.Next()
+	if c.oldestFresh == it.classElem {
+		c.oldestFresh = it.classElem.Next()
 	}
-	c.arrivals.Remove(it.order)
-	it.order = nil
+	c.arrivals.Remove(it.classElem)
+	it.classElem = nil
 	it.team.remove(it)
 	q.waiting--
 }
 
-// Expire takes out and returns the requests that have waited longer than their
-// class allows.
+// Expire removes and returns the requests that have reached the MaxWait of their
+// class.
 func (q *Queue) Expire(now time.Time) []*Item {
 	var out []*Item
 	for _, c := range q.classes {
@@ -284,7 +284,7 @@
 	return out
 }
 
-// Drain takes out and returns all requests.
+// Drain removes and returns all requests.
 func (q *Queue) Drain() []*Item {
 	var out []*Item
 	for _, c := range q.classes {
@@ -297,7 +297,7 @@
 	return out
 }
 
-// Items returns all waiting requests, by class and arrival.
+// Items returns all waiting requests, ordered by class and arrival.
 func (q *Queue) Items() []*Item {
 	out := make([]*Item, 0, q.waiting)
 	for _, c := range q.classes {
@@ -308,16 +308,16 @@
 	return out
 }
 
-// value returns the sum as it counts now.
-func (d *decayed) value(now time.Time) float64 {
+// value returns the sum decayed to the given time.
+func (d *decayingSum) value(now time.Time) float64 {
 	if d.sum == 0 {
 		return 0
 	}
-	return d.sum * math.Exp2(-float64(now.Sub(d.at))/float64(shareHalfLife))
+	return d.sum * math.Exp2(-float64(now.Sub(d.at))/float64(servedHalfLife))
 }
 
-// add adds to the sum.
-func (d *decayed) add(now time.Time, x float64) {
+// add decays the sum to the given time and adds x.
+func (d *decayingSum) add(now time.Time, x float64) {
 	d.sum = d.value(now) + x
 	d.at = now
 }
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -21,8 +21,8 @@
 	tiers = map[string]int{"confirm": 1, "offer": 2, "explain": 3}
 )
 
-// TestMain fixes the seed of the random checks, so that each run gives the same
-// verdict; -rapid.seed on the command line goes before it.
+// TestMain fixes the seed of the property tests for reproducible runs;
+// -rapid.seed on the command line overrides it.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
@@ -30,7 +30,7 @@
 	os.Exit(m.Run())
 }
 
-// push adds a request and returns the one that is shed for it, which may be itself.
+// push adds a request and returns the one that was rejected or shed, or nil.
 func push(q *queue.Queue, now time.Time, it *queue.Item) *queue.Item {
 	if !q.Add(now, it) {
 		return it
@@ -38,7 +38,7 @@
 	return q.Shed()
 }
 
-// item returns a request that asked at a time after start.
+// item returns a request that arrived at the given time after start.
 func item(id, class, team string, at time.Duration) *queue.Item {
 	return &queue.Item{ID: id, Class: class, Team: team, Weight: 1, Cost: 100, Arrived: start.Add(at)}
 }
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestSmallestShareHoldsUnderLoadOfHigherTier(t *testing.T) {
+func TestMinShareHoldsUnderLoadOfHigherTier(t *testing.T) {
 	q := queue.New(1000, classes)
 	served := map[string]int{}
 	for i := 0; i < 2000; i++ {
@@ -99,18 +99,18 @@
 	}
 }
 
-func TestClassLimitRefusesTheNewest(t *testing.T) {
+func TestClassLimitRejectsNewest(t *testing.T) {
 	q := queue.New(10, []queue.Class{{Name: "confirm", Tier: 1, Limit: 1, MaxWait: time.Second}})
 	push(q, start, item("a", "confirm", "x", 0))
 	b := item("b", "confirm", "x", 1)
 	if got := push(q, start, b); got != b {
-		t.Errorf("Push() shed %v, want b", got)
+		t.Errorf("push() rejected %v, want b", got)
 	}
 }
 
-// TestSheddingKeepsTiers checks with random arrivals that what is shed is never
-// of a higher tier than something that goes on waiting, but for the one request
-// a class below its smallest share keeps.
+// TestSheddingKeepsTiers checks with random arrivals that no request is shed while
+// one of a lower tier keeps waiting, except for the last request of a class, which
+// its minimum share may protect.
 func TestSheddingKeepsTiers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := queue.New(rapid.IntRange(3, 8).Draw(t, "limit"), classes)
@@ -140,8 +140,8 @@
 	})
 }
 
-// checkShed fails where a lower tier than the shed one keeps more than one
-// waiting request of a class.
+// checkShed fails if a class of a lower tier than the shed request has more than
+// one waiting request.
 func checkShed(t *rapid.T, shed *queue.Item, waiting map[string]*queue.Item) {
 	lower := map[string]int{}
 	for _, it := range waiting {
--- a/internal/queue/shed.go
+++ b/internal/queue/shed.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Add adds a request, however many wait; it is false where those of its class are
-// too many.
+// Add adds a request regardless of the queue's limit. It returns false if the class
+// is unknown or at its own limit.
 func (q *Queue) Add(now time.Time, it *Item) bool {
 	c := q.byName[it.Class]
 	if c == nil || c.Limit > 0 && c.arrivals.Len() >= c.Limit {
@@ -13,9 +13,9 @@
 	return true
 }
 
-// Shed takes out one request where too many wait, and returns it: the newest of the
-// lowest tier. A class below its smallest share is not shed down to nothing for a
-// higher tier. It returns nil where not too many wait.
+// Shed removes and returns the newest request of the lowest tier if the queue is over
+// its limit, else nil. A class below its minimum share keeps its last request while
+// a higher tier has one to shed.
 func (q *Queue) Shed() *Item {
 	if q.waiting <= q.limit {
 		return nil
@@ -25,12 +25,12 @@
 	return victim
 }
 
-// victim returns the request to shed: the newest of the lowest tier whose class
-// is not owed its last waiting request.
+// victim returns the request to shed: the newest of the lowest tier that has a
+// class whose last request is not protected by its minimum share.
 func (q *Queue) victim() *Item {
 	for i := len(q.classes) - 1; i >= 0; i-- {
 		c := q.classes[i]
-		if c.arrivals.Len() == 0 || (c.arrivals.Len() == 1 && c.owed()) {
+		if c.arrivals.Len() == 0 || (c.arrivals.Len() == 1 && c.belowMinShare()) {
 			continue
 		}
 		return q.newestInTier(c.Tier)
@@ -38,15 +38,15 @@
 	return q.newestInTier(q.classes[len(q.classes)-1].Tier)
 }
 
-// newestInTier returns the newest request of all classes of a tier, but for the
-// last one of a class that is owed.
+// newestInTier returns the newest request of a tier's classes. It skips the last
+// request of a class below its minimum share once it has found another.
 func (q *Queue) newestInTier(tier int) *Item {
 	var newest *Item
 	for _, c := range q.classes {
 		if c.Tier != tier || c.arrivals.Len() == 0 {
 			continue
 		}
-		if c.arrivals.Len() == 1 && c.owed() && newest != nil {
+		if c.arrivals.Len() == 1 && c.belowMinShare() && newest != nil {
 			continue
 		}
 		it := c.arrivals.Back().Value.(*Item)
