--- a/internal/broker/grant.go
+++ b/internal/broker/grant.go
@@ -26,7 +26,7 @@
 		if e == nil {
 			return
 		}
-		if !p.queue.Owed(it.Class) && p.kept(now, it.Class, free, slots) {
+		if !p.queue.BelowMinShare(it.Class) && p.kept(now, it.Class, free, slots) {
 			return
 		}
 		p.queue.Pop(now)
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -228,8 +228,8 @@
 	}
 }
 
-// Owed reports whether a class got less than its minimum share.
-func (q *Queue) Owed(class string) bool {
+// BelowMinShare reports whether a class got less than its minimum share.
+func (q *Queue) BelowMinShare(class string) bool {
 	c := q.byName[class]
 	return c != nil && c.belowMinShare()
 }
