--- a/internal/claim/claim_test.go
+++ b/internal/claim/claim_test.go
@@ -15,12 +15,12 @@
 	"github.com/croftturn/croftturn/internal/wire"
 )
 
-// table is a table in memory that loses acknowledgements on command.
+// table is an in-memory table that can lose acknowledgements.
 type table struct {
-	mu    sync.Mutex
-	rows  map[string]kv.Row
-	lose  int
-	calls int
+	mu       sync.Mutex
+	rows     map[string]kv.Row
+	loseAcks int
+	calls    int
 }
 
 // Get reads a row.
@@ -45,7 +45,7 @@
 	return out[:min(limit, len(out))], nil
 }
 
-// Transact checks and writes rows, and may lose the answer.
+// Transact checks and writes rows; its acknowledgement may be lost.
 func (t *table) Transact(_ context.Context, txn kv.Txn) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -67,21 +67,21 @@
 		}
 		t.rows[p.Key] = kv.Row{Key: p.Key, Value: p.Value, Version: t.rows[p.Key].Version + 1}
 	}
-	if t.lose > 0 {
-		t.lose--
+	if t.loseAcks > 0 {
+		t.loseAcks--
 		return kv.ErrUncertain
 	}
 	return nil
 }
 
-// keeper returns a keeper of a node on a table.
-func keeper(t *testing.T, tab *table, node string) *claim.Keeper {
+// newClaimer returns a claimer for a node.
+func newClaimer(t *testing.T, tab *table, node string) *claim.Keeper {
 	k := claim.NewKeeper(tab, node, 1, time.Millisecond)
 	t.Cleanup(k.Close)
 	return k
 }
 
-// begin begins an attempt that must find the key free.
+// begin begins an attempt on a key that must be unclaimed.
 func begin(t *testing.T, k *claim.Keeper, key, id string) *claim.Attempt {
 	t.Helper()
 	a, err := k.Begin(context.Background(), key, id)
@@ -91,15 +91,15 @@
 	return a
 }
 
-// TestOneOfManyClaims lets attempts at several nodes claim one key at the same
-// time, among other keys that must not suffer, with answers lost.
+// TestOneOfManyClaims checks that exactly one of several nodes' concurrent attempts
+// claims a key, and that claims of other keys succeed, with acknowledgements lost.
 func TestOneOfManyClaims(t *testing.T) {
-	tab := &table{rows: map[string]kv.Row{}, lose: 3}
+	tab := &table{rows: map[string]kv.Row{}, loseAcks: 3}
 	won, others := 0, 0
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for _, node := range []string{"n1", "n2", "n3"} {
-		k := keeper(t, tab, node)
+		k := newClaimer(t, tab, node)
 		for _, key := range []string{"same", "own-" + node, "more-" + node} {
 			a := begin(t, k, key, node+key)
 			wg.Add(1)
@@ -122,42 +122,42 @@
 	}
 	wg.Wait()
 	if won != 1 || others != 6 {
-		t.Errorf("%d claims of one key and %d of 6 others held", won, others)
+		t.Errorf("%d claims of the shared key and %d of 6 others succeeded", won, others)
 	}
 }
 
-// gathered forwards claims to another keeper, or to nobody.
-type gathered struct {
-	to   *claim.Keeper
-	down bool
+// fakeForwarder forwards claims to another claimer.
+type fakeForwarder struct {
+	to          *claim.Keeper
+	loseReplies bool
 }
 
-// Elsewhere is true.
-func (*gathered) Elsewhere() bool { return true }
+// Elsewhere always returns true.
+func (*fakeForwarder) Elsewhere() bool { return true }
 
-// Forward hands a batch over; when down it is lost after it was written.
-func (g *gathered) Forward(ctx context.Context, batch *wire.ClaimBatch) (*wire.ClaimReply, error) {
+// Forward forwards a batch; with loseReplies the reply is lost after the write.
+func (g *fakeForwarder) Forward(ctx context.Context, batch *wire.ClaimBatch) (*wire.ClaimReply, error) {
 	reply, err := g.to.AnswerClaims(ctx, batch)
-	if err != nil || g.down {
+	if err != nil || g.loseReplies {
 		return nil, errors.New("the answer was lost")
 	}
 	return reply.(*wire.ClaimReply), nil
 }
 
-// TestGatheringForOtherNodes lets seven nodes hand their claims to one: one of
-// the claims of each key holds, few transactions are needed, and a lost answer of
-// the gathering node settles like a lost answer of the platform.
-func TestGatheringForOtherNodes(t *testing.T) {
-	for _, down := range []bool{false, true} {
+// TestAggregator checks with seven nodes forwarding to one that exactly one claim of
+// each key succeeds in few transactions, and that a lost reply of the aggregator is
+// settled like a lost reply of the platform.
+func TestAggregator(t *testing.T) {
+	for _, loseReplies := range []bool{false, true} {
 		tab := &table{rows: map[string]kv.Row{}}
-		center := claim.NewKeeper(tab, "n0", 1, 30*time.Millisecond)
-		defer center.Close()
+		aggregator := claim.NewKeeper(tab, "n0", 1, 30*time.Millisecond)
+		defer aggregator.Close()
 		var mu sync.Mutex
 		var wg sync.WaitGroup
 		won := map[string]int{}
 		for n := range 7 {
 			node := string(rune('a' + n))
-			k := claim.NewKeeper(tab, node, 1, time.Millisecond, claim.WithForwarder(&gathered{to: center, down: down}))
+			k := claim.NewKeeper(tab, node, 1, time.Millisecond, claim.WithForwarder(&fakeForwarder{to: aggregator, loseReplies: loseReplies}))
 			defer k.Close()
 			for _, key := range []string{"same", "own-" + node} {
 				a := begin(t, k, key, node+key)
@@ -179,9 +179,9 @@
 		}
 		wg.Wait()
 		if won["same"] != 1 || len(won) != 8 {
-			t.Errorf("answers lost %v: claims held %v", down, won)
+			t.Errorf("replies lost %v: successful claims %v", loseReplies, won)
 		}
-		if !down && tab.calls > 14 {
+		if !loseReplies && tab.calls > 14 {
 			t.Errorf("14 claims of 8 keys took %d transactions", tab.calls)
 		}
 	}
@@ -189,25 +189,25 @@
 
 func TestVoidEndsEarlierAttempts(t *testing.T) {
 	tab := &table{rows: map[string]kv.Row{}}
-	k := keeper(t, tab, "n1")
+	k := newClaimer(t, tab, "n1")
 	stale, refused := begin(t, k, "k", "a1"), begin(t, k, "k", "a2")
 	if err := refused.Void(context.Background(), time.Now()); err != nil {
 		t.Fatal(err)
 	}
 	var taken *claim.TakenError
 	if err := stale.Claim(context.Background(), time.Now()); !errors.As(err, &taken) || !taken.Void() {
-		t.Errorf("an attempt from before the refusal: %v", err)
+		t.Errorf("claim by an attempt older than the void: %v", err)
 	}
 	if err := begin(t, k, "k", "a3").Claim(context.Background(), time.Now()); err != nil {
-		t.Errorf("a new try: %v", err)
+		t.Errorf("claim by a new attempt: %v", err)
 	}
 }
 
-// TestClaimCanBeVoidedByItsHolder holds that an attempt which claimed and then
-// found no engine can still make its refusal certain.
+// TestClaimCanBeVoidedByItsHolder checks that an attempt which claimed a key and then
+// found no engine can still void it.
 func TestClaimCanBeVoidedByItsHolder(t *testing.T) {
 	tab := &table{rows: map[string]kv.Row{}}
-	a := begin(t, keeper(t, tab, "n1"), "k", "a1")
+	a := begin(t, newClaimer(t, tab, "n1"), "k", "a1")
 	if err := a.Claim(context.Background(), time.Now()); err != nil {
 		t.Fatal(err)
 	}
@@ -216,9 +216,8 @@
 	}
 }
 
-// TestGathering holds that claims which come together go out in few
-// transactions.
-func TestGathering(t *testing.T) {
+// TestBatching checks that concurrent claims are written in few transactions.
+func TestBatching(t *testing.T) {
 	tab := &table{rows: map[string]kv.Row{}}
 	k := claim.NewKeeper(tab, "n1", 1, 50*time.Millisecond)
 	defer k.Close()
@@ -264,9 +263,9 @@
 	}
 }
 
-// TestRegistryNeverForgetsARunInItsTime fills the registry with bodies beyond
-// its bound: the first key must still be known, as unknown, and not run again.
-func TestRegistryNeverForgetsARunInItsTime(t *testing.T) {
+// TestRegistryRemembersRunsWithoutBodies fills the registry with bodies beyond its
+// size limit: the first key must have an unknown outcome and not run again.
+func TestRegistryRemembersRunsWithoutBodies(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := claim.NewRegistry(time.Minute)
 	for i := range 40 {
@@ -278,16 +277,16 @@
 	}
 	run, first := r.Begin(now.Add(14*time.Minute), "k", "b")
 	if first || r.Outcome(run).State != wire.OutcomeStateUnknown {
-		t.Errorf("first = %v, outcome %q, want the run without its body", first, r.Outcome(run).State)
+		t.Errorf("first = %v, outcome %q, want a known run with an unknown outcome", first, r.Outcome(run).State)
 	}
 	if _, first := r.Begin(now.Add(16*time.Minute), "k", "c"); !first {
-		t.Error("the key is remembered beyond its time")
+		t.Error("the key is remembered beyond its retention")
 	}
 }
 
-func TestSweeperRemovesOnlyTheOld(t *testing.T) {
+func TestSweeperRemovesOnlyExpired(t *testing.T) {
 	tab := &table{rows: map[string]kv.Row{}}
-	k := keeper(t, tab, "n1")
+	k := newClaimer(t, tab, "n1")
 	now := time.Now()
 	for key, at := range map[string]time.Time{"old": now.Add(-49 * time.Hour), "new": now.Add(-47 * time.Hour)} {
 		if err := begin(t, k, key, key).Claim(context.Background(), at); err != nil {
@@ -299,6 +298,6 @@
 		t.Errorf("Page() = %d, %v, want 1", removed, err)
 	}
 	if _, err := k.Begin(context.Background(), "new", "x"); err == nil {
-		t.Error("the new claim is gone")
+		t.Error("the new claim was removed")
 	}
 }
--- a/internal/claim/forward.go
+++ b/internal/claim/forward.go
@@ -11,58 +11,59 @@
 )
 
 const (
-	// MethodClaims is the peers' method that takes a ClaimBatch.
+	// MethodClaims is the peer method that takes a ClaimBatch.
 	MethodClaims = "clm"
 
-	// forwardTimeout bounds how long the gathering node has to answer, before the
-	// node writes its claims itself.
+	// forwardTimeout is how long a node waits for the aggregator's reply before it
+	// writes the claims itself.
 	forwardTimeout = 1500 * time.Millisecond
 
-	// nodesPerGatherer is how many nodes hand their claims to one of them.
-	nodesPerGatherer = 100
+	// nodesPerAggregator is how many nodes share one aggregator.
+	nodesPerAggregator = 100
 )
 
-// Forwarder hands claims to the node that gathers them for several nodes, so that
-// the platform sees few transactions however many nodes there are. It does not
-// matter for safety which node writes a claim: the check on its row lets at most
-// one of two copies through, and the attempt in the row tells whose it was.
+// Forwarder forwards claims to an aggregator, the node that writes them for several
+// nodes, which keeps the number of platform transactions low at any number of nodes.
+// Any node may safely write a claim: the version check on its row lets at most one
+// of two copies succeed, and the row records the attempt that holds the claim.
 type Forwarder interface {
-	// Elsewhere reports whether another node gathers for this one.
+	// Elsewhere reports whether another node is the aggregator for this one.
 	Elsewhere() bool
-	// Forward hands over a batch.
+	// Forward sends a batch to the aggregator.
 	Forward(ctx context.Context, batch *wire.ClaimBatch) (*wire.ClaimReply, error)
 }
 
-// GatherKey returns the key whose owner gathers for a node, with so many nodes.
+// GatherKey returns the key whose owner is the aggregator for a node, given the
+// number of nodes.
 func GatherKey(node string, nodes int) string {
 	sum := 0
 	for _, c := range node {
 		sum += int(c)
 	}
-	return fmt.Sprint("gather/", sum%(1+nodes/nodesPerGatherer))
+	return fmt.Sprint("gather/", sum%(1+nodes/nodesPerAggregator))
 }
 
-// handOver hands a batch to the gathering node, and writes what that could not
-// settle itself.
-func (k *Keeper) handOver(batch []*op) {
+// forwardBatch sends a batch to the aggregator, and writes the batch here if that
+// fails.
+func (c *Keeper) forwardBatch(batch []*op) {
 	ctx, cancel := context.WithTimeout(context.Background(), forwardTimeout)
 	defer cancel()
 	request := &wire.ClaimBatch{}
 	for _, o := range batch {
 		request.Rows = append(request.Rows, wire.ClaimRow{Key: o.key, Version: o.version, Record: o.record.encode()})
 	}
-	reply, err := k.forward.Forward(ctx, request)
+	reply, err := c.forward.Forward(ctx, request)
 	if err != nil || len(reply.Results) != len(batch) {
-		k.settle(batch)
+		c.settle(batch)
 		return
 	}
 	for i, o := range batch {
-		o.result <- resultError(reply.Results[i])
+		o.result <- decodeResult(reply.Results[i])
 	}
 }
 
-// resultError turns the gathering node's result into that of a write.
-func resultError(r wire.ClaimResult) error {
+// decodeResult converts an aggregator's result to the result of a write.
+func decodeResult(r wire.ClaimResult) error {
 	switch r.State {
 	case wire.ClaimResultStateW:
 		return nil
@@ -79,9 +80,9 @@
 	return ErrUnsettled
 }
 
-// AnswerClaims writes the claims of another node together with those of others;
-// it is the handler of MethodClaims.
-func (k *Keeper) AnswerClaims(ctx context.Context, batch *wire.ClaimBatch) (any, error) {
+// AnswerClaims writes another node's claims, batched with those of other nodes. It
+// is the handler of MethodClaims.
+func (c *Keeper) AnswerClaims(ctx context.Context, batch *wire.ClaimBatch) (any, error) {
 	ops := make([]*op, 0, len(batch.Rows))
 	for _, row := range batch.Rows {
 		o := &op{key: row.Key, version: row.Version, result: make(chan error, 1)}
@@ -92,20 +93,20 @@
 	}
 	for _, o := range ops {
 		select {
-		case k.writes <- o:
+		case c.writes <- o:
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
 	}
 	reply := &wire.ClaimReply{}
 	for _, o := range ops {
-		reply.Results = append(reply.Results, resultOf(<-o.result))
+		reply.Results = append(reply.Results, encodeResult(<-o.result))
 	}
 	return reply, nil
 }
 
-// resultOf turns the result of a write into what the other node is told.
-func resultOf(err error) wire.ClaimResult {
+// encodeResult converts the result of a write to its form on the wire.
+func encodeResult(err error) wire.ClaimResult {
 	var taken *TakenError
 	switch {
 	case err == nil:
--- a/internal/claim/keeper.go
+++ b/internal/claim/keeper.go
@@ -1,8 +1,8 @@
-// Package claim makes a request that must not be repeated run at most once in
-// the whole system, whichever nodes its caller sends it to. A key is claimed in
-// the platform's table before the request goes to an engine; a ticket names the
-// one process that may run it and needs no write. Either way the first run's
-// outcome answers whoever sends the key again.
+// Package claim ensures that a non-repeatable request runs at most once in the
+// whole system, whichever nodes receive it. An idempotency key is claimed in the
+// platform's table before the request goes to an engine; a ticket names the one
+// process that may run it and needs no write. In both cases a request repeated
+// with the same key gets the outcome of the first run.
 package claim
 
 import (
@@ -21,77 +21,76 @@
 const (
 	rowPrefix = "claim/"
 
-	// stateClaimed means that the holder runs or ran the request.
+	// stateClaimed means that the holder is running or has run the request.
 	stateClaimed = "claimed"
 
-	// stateVoid means that a refusal said not_run: whoever read the key before
-	// can't claim it any more, and a new try may.
+	// stateVoid means that the request was rejected with not_run: attempts that
+	// read the key before can no longer claim it, while new attempts can.
 	stateVoid = "void"
 
-	// gatherMost bounds how many keys one transaction holds.
-	gatherMost = 64
+	// maxBatchKeys limits the keys in one transaction.
+	maxBatchKeys = 64
 
-	// settleTime bounds how long one uncertain write is pursued.
-	settleTime = 3 * time.Second
+	// settleTimeout limits how long an uncertain write is retried.
+	settleTimeout = 3 * time.Second
 
-	// settlePause is the wait between two tries of an uncertain write.
-	settlePause = 100 * time.Millisecond
+	// settleRetryDelay is the delay between attempts of an uncertain write.
+	settleRetryDelay = 100 * time.Millisecond
 )
 
-// ErrUnsettled says that the platform could not settle a claim in time. The
-// request does not run here; whether it ran elsewhere is not known.
+// ErrUnsettled reports that the result of a claim could not be determined in time.
+// The request does not run here; whether it ran elsewhere is unknown.
 var ErrUnsettled = errors.New("claim: not settled")
 
 type (
-	// Table is what claims need of the platform.
+	// Table is the part of the platform's table that claims use.
 	Table interface {
 		Get(ctx context.Context, key string) (kv.Row, error)
 		Transact(ctx context.Context, txn kv.Txn) error
 	}
 
-	// Record is the row of one key.
+	// Record is the value of a key's row.
 	Record struct {
 		State       string `json:"s"`
 		Node        string `json:"n"`
 		Incarnation int    `json:"i"`
 		Attempt     string `json:"a"`
-		AtMs        int64  `json:"t"` // AtMs is Unix time on the writer's clock; only for removal of old rows.
+		AtMs        int64  `json:"t"` // AtMs is Unix time on the writer's clock; only used to remove old rows.
 	}
 
-	// TakenError says that another attempt holds a key.
+	// TakenError reports that another attempt holds a key.
 	TakenError struct {
 		Record  Record
-		Version int // Version of the row.
+		Version int // Version is the row's version.
 	}
 
-	// Keeper claims keys for one node. The claims of a short time are gathered,
-	// first at the node, then at the node that gathers for it, into one
-	// transaction.
+	// Keeper claims keys for one node. It batches concurrent claims into one
+	// transaction, first at the node and then at the node's aggregator.
 	Keeper struct {
 		table       Table
 		forward     Forwarder
 		node        string
 		incarnation int
-		gather      time.Duration
-		forwards    chan *op // forwards are claims to hand to the gathering node.
-		writes      chan *op // writes are claims to write here.
+		batchDelay  time.Duration
+		forwards    chan *op // forwards receives claims to send to the aggregator.
+		writes      chan *op // writes receives claims to write here.
 		wg          sync.WaitGroup
 		stop        context.CancelFunc
 	}
 
-	// Option sets a part of a Keeper.
+	// Option configures a Keeper.
 	Option func(*Keeper)
 
-	// Attempt is one try of a request with a key.
+	// Attempt is one attempt to run a request with a key.
 	Attempt struct {
 		ID string
 
-		keeper  *Keeper
+		claimer *Keeper
 		key     string
-		version int // version of the row when the request arrived.
+		version int // version is the row's version when the request arrived.
 	}
 
-	// op is one row to write, if it still has the version.
+	// op writes one row if it still has the given version.
 	op struct {
 		key     string
 		version int
@@ -100,47 +99,47 @@
 	}
 )
 
-// Error describes who holds the key.
+// Error describes the holder of the key.
 func (e *TakenError) Error() string {
 	return fmt.Sprintf("claim: %s by %s, attempt %s", e.Record.State, e.Record.Node, e.Record.Attempt)
 }
 
-// Void reports whether the key was refused as not run, rather than claimed.
+// Void reports whether the key is void rather than claimed.
 func (e *TakenError) Void() bool { return e.Record.State == stateVoid }
 
-// WithForwarder makes the keeper hand its claims to the node that gathers them.
-func WithForwarder(f Forwarder) Option { return func(k *Keeper) { k.forward = f } }
+// WithForwarder makes the claimer forward its claims to an aggregator.
+func WithForwarder(f Forwarder) Option { return func(c *Keeper) { c.forward = f } }
 
-// NewKeeper returns a keeper for one incarnation of a node; Close stops it.
-func NewKeeper(table Table, node string, incarnation int, gather time.Duration, opts ...Option) *Keeper {
+// NewKeeper returns a claimer for one incarnation of a node; Close stops it.
+func NewKeeper(table Table, node string, incarnation int, batchDelay time.Duration, opts ...Option) *Keeper {
 	ctx, cancel := context.WithCancel(context.Background())
-	k := &Keeper{
-		table: table, node: node, incarnation: incarnation, gather: gather,
+	c := &Keeper{
+		table: table, node: node, incarnation: incarnation, batchDelay: batchDelay,
 		forwards: make(chan *op), writes: make(chan *op), stop: cancel,
 	}
 	for _, o := range opts {
-		o(k)
+		o(c)
 	}
-	k.wg.Add(2)
-	go k.run(ctx, k.forwards, k.handOver)
-	go k.run(ctx, k.writes, k.settle)
-	return k
+	c.wg.Add(2)
+	go c.runBatches(ctx, c.forwards, c.forwardBatch)
+	go c.runBatches(ctx, c.writes, c.settle)
+	return c
 }
 
-// Close stops the keeper and waits for its writes.
-func (k *Keeper) Close() {
-	k.stop()
-	k.wg.Wait()
+// Close stops the claimer and waits for its writes.
+func (c *Keeper) Close() {
+	c.stop()
+	c.wg.Wait()
 }
 
-// Begin reads a key's row when a request arrives. It fails with a *TakenError
-// where the key is claimed, and with ErrUnsettled where the row can't be read.
-func (k *Keeper) Begin(ctx context.Context, key, attempt string) (*Attempt, error) {
-	row, err := k.table.Get(ctx, rowPrefix+key)
+// Begin reads a key's row when a request arrives. It returns a *TakenError if the
+// key is claimed, and ErrUnsettled if the row can't be read.
+func (c *Keeper) Begin(ctx context.Context, key, attempt string) (*Attempt, error) {
+	row, err := c.table.Get(ctx, rowPrefix+key)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrUnsettled, err)
 	}
-	a := &Attempt{ID: attempt, keeper: k, key: key, version: row.Version}
+	a := &Attempt{ID: attempt, claimer: c, key: key, version: row.Version}
 	taken, err := decode(row)
 	if err != nil {
 		return nil, err
@@ -151,7 +150,7 @@
 	return a, nil
 }
 
-// decode reads a row; an absent one gives nil.
+// decode decodes a row; it returns nil for an absent one.
 func decode(row kv.Row) (*TakenError, error) {
 	if row.Version == 0 {
 		return nil, nil
@@ -163,48 +162,48 @@
 	return t, nil
 }
 
-// Claim takes the key. A nil error means that this attempt, and no other, may
-// run the request. It fails with a *TakenError or with ErrUnsettled.
+// Claim claims the key. A nil error means that this attempt, and no other, may
+// run the request. Otherwise it returns a *TakenError or ErrUnsettled.
 func (a *Attempt) Claim(ctx context.Context, now time.Time) error {
 	if err := a.write(ctx, now, stateClaimed); err != nil {
 		return err
 	}
-	a.version++ // The platform counts a row's writes.
+	a.version++ // Each write increments the row's version by one.
 	return nil
 }
 
-// Void makes it certain that the request did not run and will not: no attempt
-// that read the key before, at whichever node, can claim it any more. It is
-// written before a caller is told not_run, and fails like Claim.
+// Void guarantees that the request did not run and will not: no attempt at any
+// node that read the key before can still claim it. It must succeed before a
+// caller is told not_run, and returns the same errors as Claim.
 func (a *Attempt) Void(ctx context.Context, now time.Time) error {
 	return a.write(ctx, now, stateVoid)
 }
 
-// write hands a row to the gatherer and waits for its result.
+// write queues a row for the next batch and waits for its result.
 func (a *Attempt) write(ctx context.Context, now time.Time, state string) error {
-	k := a.keeper
-	to := k.writes
-	if k.forward != nil && k.forward.Elsewhere() {
-		to = k.forwards
+	c := a.claimer
+	to := c.writes
+	if c.forward != nil && c.forward.Elsewhere() {
+		to = c.forwards
 	}
 	o := &op{key: a.key, version: a.version, result: make(chan error, 1), record: Record{
-		State: state, Node: k.node, Incarnation: k.incarnation, Attempt: a.ID, AtMs: clock.Wall(now).UnixMilli(),
+		State: state, Node: c.node, Incarnation: c.incarnation, Attempt: a.ID, AtMs: clock.Wall(now).UnixMilli(),
 	}}
 	select {
 	case to <- o:
 	case <-ctx.Done():
 		return fmt.Errorf("%w: %w", ErrUnsettled, ctx.Err())
 	}
-	// The wait does not end with the caller: an unsettled write must be known.
+	// The wait ignores ctx: the result is needed even after the caller has disconnected.
 	return <-o.result
 }
 
-// run gathers rows and hands each batch on, several batches at a time.
-func (k *Keeper) run(ctx context.Context, from <-chan *op, handle func(batch []*op)) {
-	defer k.wg.Done()
-	var later []*op
+// runBatches collects rows into batches and handles each batch in its own goroutine.
+func (c *Keeper) runBatches(ctx context.Context, from <-chan *op, handle func(batch []*op)) {
+	defer c.wg.Done()
+	var deferred []*op
 	for {
-		batch := later
+		batch := deferred
 		if len(batch) == 0 {
 			select {
 			case o := <-from:
@@ -213,45 +212,45 @@
 				return
 			}
 		}
-		batch, later = k.fill(ctx, from, batch)
-		k.wg.Add(1)
+		batch, deferred = c.fillBatch(ctx, from, batch)
+		c.wg.Add(1)
 		go func() {
-			defer k.wg.Done()
+			defer c.wg.Done()
 			handle(batch)
 		}()
 	}
 }
 
-// fill adds the rows that come within the gathering time. A second row of one
-// key is kept for the batch after, where the first will stand in its way.
-func (k *Keeper) fill(ctx context.Context, from <-chan *op, rows []*op) (batch, later []*op) {
-	timer := time.NewTimer(k.gather)
+// fillBatch adds the rows that arrive within the batch delay. A second row for the
+// same key is deferred to the next batch, where it will conflict with the first.
+func (c *Keeper) fillBatch(ctx context.Context, from <-chan *op, rows []*op) (batch, deferred []*op) {
+	timer := time.NewTimer(c.batchDelay)
 	defer timer.Stop()
 	for _, o := range rows {
-		batch, later = place(batch, later, o)
+		batch, deferred = addToBatch(batch, deferred, o)
 	}
-	for len(batch) < gatherMost {
+	for len(batch) < maxBatchKeys {
 		select {
 		case o := <-from:
-			batch, later = place(batch, later, o)
+			batch, deferred = addToBatch(batch, deferred, o)
 		case <-timer.C:
-			return batch, later
+			return batch, deferred
 		case <-ctx.Done():
-			return batch, later
+			return batch, deferred
 		}
 	}
-	return batch, later
+	return batch, deferred
 }
 
-// place puts a row into a batch, or behind it where its key is there already.
-func place(batch, later []*op, o *op) ([]*op, []*op) {
+// addToBatch adds a row to a batch, or defers it if the batch has its key already.
+func addToBatch(batch, deferred []*op, o *op) ([]*op, []*op) {
 	if hasKey(batch, o.key) {
-		return batch, append(later, o)
+		return batch, append(deferred, o)
 	}
-	return append(batch, o), later
+	return append(batch, o), deferred
 }
 
-// hasKey reports whether a batch holds a key.
+// hasKey reports whether a batch contains a key.
 func hasKey(batch []*op, key string) bool {
 	for _, o := range batch {
 		if o.key == key {
@@ -261,37 +260,37 @@
 	return false
 }
 
-// settle writes a batch to the platform until each row's fate is known or the time is up. A row
-// whose check fails leaves the batch, and the rest is sent again.
-func (k *Keeper) settle(batch []*op) {
-	ctx, cancel := context.WithTimeout(context.Background(), settleTime)
+// settle writes a batch to the platform until the result of each row is known or settleTimeout has passed.
+// A row whose version check fails is removed from the batch, and the rest is sent again.
+func (c *Keeper) settle(batch []*op) {
+	ctx, cancel := context.WithTimeout(context.Background(), settleTimeout)
 	defer cancel()
 	uncertain := false
 	for len(batch) > 0 {
-		err := k.table.Transact(ctx, txnOf(batch))
+		err := c.table.Transact(ctx, buildTxn(batch))
 		var conflict *kv.ConflictError
 		switch {
 		case err == nil:
-			answer(batch, nil)
+			completeAll(batch, nil)
 			return
 		case errors.As(err, &conflict):
-			batch = k.resolve(batch, conflict)
+			batch = c.resolveConflict(batch, conflict)
 			continue
 		case errors.Is(err, kv.ErrUncertain):
 			uncertain = true
 		case !uncertain:
-			answer(batch, fmt.Errorf("%w: %w", ErrUnsettled, err))
+			completeAll(batch, fmt.Errorf("%w: %w", ErrUnsettled, err))
 			return
 		}
-		if !pause.For(ctx, settlePause) {
-			answer(batch, fmt.Errorf("%w: %w", ErrUnsettled, err))
+		if !pause.For(ctx, settleRetryDelay) {
+			completeAll(batch, fmt.Errorf("%w: %w", ErrUnsettled, err))
 			return
 		}
 	}
 }
 
-// txnOf returns the transaction of a batch.
-func txnOf(batch []*op) kv.Txn {
+// buildTxn returns the transaction that writes a batch.
+func buildTxn(batch []*op) kv.Txn {
 	var txn kv.Txn
 	for _, o := range batch {
 		txn.Checks = append(txn.Checks, kv.Check{Key: rowPrefix + o.key, Version: o.version})
@@ -300,9 +299,9 @@
 	return txn
 }
 
-// resolve answers the rows that a conflict names and returns the others. A row
-// that holds the very attempt was written by an earlier, uncertain try.
-func (k *Keeper) resolve(batch []*op, conflict *kv.ConflictError) []*op {
+// resolveConflict completes the rows listed in a conflict and returns the others. A
+// row that holds the same attempt was written by an earlier, uncertain write.
+func (c *Keeper) resolveConflict(batch []*op, conflict *kv.ConflictError) []*op {
 	rows := make(map[string]kv.Row, len(conflict.Rows))
 	for _, r := range conflict.Rows {
 		rows[r.Key] = r
@@ -314,17 +313,17 @@
 			rest = append(rest, o)
 			continue
 		}
-		o.result <- o.verdict(row)
+		o.result <- o.resultFor(row)
 	}
 	if len(rest) == len(batch) {
-		answer(rest, fmt.Errorf("%w: conflict names no row", ErrUnsettled))
+		completeAll(rest, fmt.Errorf("%w: conflict names no row", ErrUnsettled))
 		return nil
 	}
 	return rest
 }
 
-// verdict says what a row that was found means for an op.
-func (o *op) verdict(row kv.Row) error {
+// resultFor returns the result of an op that conflicts with an existing row.
+func (o *op) resultFor(row kv.Row) error {
 	taken, err := decode(row)
 	switch {
 	case err != nil:
@@ -337,8 +336,8 @@
 	return taken
 }
 
-// answer gives all of a batch one result.
-func answer(batch []*op, err error) {
+// completeAll completes every op of a batch with the same result.
+func completeAll(batch []*op, err error) {
 	for _, o := range batch {
 		o.result <- err
 	}
--- a/internal/claim/registry.go
+++ b/internal/claim/registry.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	// keepLeast is how long a finished request is remembered at least.
-	keepLeast = 15 * time.Minute
+	// minRetention is the minimum time for which a finished request is remembered.
+	minRetention = 15 * time.Minute
 
-	// keepBytes bounds the bodies that are kept together.
-	keepBytes = 32 << 20
+	// maxStoredBytes limits the total size of the stored bodies.
+	maxStoredBytes = 32 << 20
 )
 
 type (
-	// Registry knows the requests with keys that run or ran at this node.
+	// Registry tracks the running and finished requests with keys at this node.
 	Registry struct {
-		keep time.Duration // keep is how long a finished request is remembered.
+		retention time.Duration // retention is how long a finished request is remembered.
 
 		mu       sync.Mutex
 		runs     map[string]*Run
 		finished *list.List // finished holds runs, oldest first.
-		bodies   *list.List // bodies holds the finished runs whose bodies are kept, oldest first.
+		bodies   *list.List // bodies holds finished runs with stored bodies, oldest first.
 		bytes    int
 	}
 
@@ -38,18 +38,18 @@
 	}
 )
 
-// NewRegistry returns an empty registry that remembers each key for longer than
-// a ticket lives.
-func NewRegistry(ticketLife time.Duration) *Registry {
-	return &Registry{keep: max(keepLeast, 2*ticketLife), runs: map[string]*Run{}, finished: list.New(), bodies: list.New()}
+// NewRegistry returns an empty registry that remembers each key for at least twice
+// the lifetime of a ticket.
+func NewRegistry(ticketLifetime time.Duration) *Registry {
+	return &Registry{retention: max(minRetention, 2*ticketLifetime), runs: map[string]*Run{}, finished: list.New(), bodies: list.New()}
 }
 
-// Begin returns the run of a key, and whether the caller is the first and has
-// to run it. The first must call Finish or Abandon.
+// Begin returns the run of a key and whether the caller is the first. The first
+// caller runs the request and must call Finish or Abandon.
 func (r *Registry) Begin(now time.Time, key, attempt string) (*Run, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.forget(now)
+	r.evict(now)
 	if run := r.runs[key]; run != nil {
 		return run, false
 	}
@@ -58,7 +58,8 @@
 	return run, true
 }
 
-// Finish records the outcome of a run that started on an engine, whole or not.
+// Finish records the outcome of a run that started on an engine, whether or not
+// it completed.
 func (r *Registry) Finish(now time.Time, run *Run, outcome wire.Outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -67,11 +68,11 @@
 	r.bodies.PushBack(run)
 	r.bytes += len(outcome.Body)
 	close(run.done)
-	r.forget(now)
+	r.evict(now)
 }
 
-// Abandon gives those who wait the outcome of a run that did not start, and
-// forgets it, so that a later try of the key may run.
+// Abandon passes the outcome of a run that did not start to its waiters, and removes
+// the run so that a later attempt with the key may run.
 func (r *Registry) Abandon(now time.Time, run *Run, outcome wire.Outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -80,7 +81,7 @@
 	close(run.done)
 }
 
-// Done is closed when the run has its outcome.
+// Done returns a channel that is closed when the outcome is available.
 func (run *Run) Done() <-chan struct{} { return run.done }
 
 // Outcome returns a run's outcome; it is valid once Done is closed.
@@ -90,8 +91,7 @@
 	return run.outcome
 }
 
-// Lookup returns the run of an attempt, or nil where this process does not know
-// it.
+// Lookup returns the run of an attempt, or nil if this process does not know it.
 func (r *Registry) Lookup(key, attempt string) *Run {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -102,18 +102,18 @@
 	return run
 }
 
-// forget drops the bodies that are too many and the runs that are old; the
-// caller holds the lock. A run without its body answers as unknown, so that it
-// is never run again.
-func (r *Registry) forget(now time.Time) {
-	for r.bytes > keepBytes {
+// evict drops the oldest bodies over the size limit and the runs past their
+// retention; the caller holds the lock. A run whose body was dropped keeps its key
+// with an unknown outcome, so that it is not run again within its retention.
+func (r *Registry) evict(now time.Time) {
+	for r.bytes > maxStoredBytes {
 		run := r.bodies.Remove(r.bodies.Front()).(*Run)
 		r.bytes -= len(run.outcome.Body)
 		run.outcome = wire.Outcome{State: wire.OutcomeStateUnknown, Reason: "the answer is no longer kept"}
 	}
 	for e := r.finished.Front(); e != nil; e = r.finished.Front() {
 		run := e.Value.(*Run)
-		if now.Sub(run.ended) < r.keep {
+		if now.Sub(run.ended) < r.retention {
 			break
 		}
 		r.finished.Remove(e)
@@ -122,7 +122,7 @@
 	}
 }
 
-// dropBody drops an old run's body, which is the oldest where it is still kept.
+// dropBody drops the body of the oldest run; if still stored, it is the oldest body.
 func (r *Registry) dropBody(run *Run) {
 	front := r.bodies.Front()
 	if front == nil || front.Value.(*Run) != run {
--- a/internal/claim/sweeper.go
+++ b/internal/claim/sweeper.go
@@ -12,44 +12,43 @@
 )
 
 const (
-	// sweepEvery is how often one page of claims is looked at.
-	sweepEvery = 15 * time.Second
+	// sweepInterval is the interval between pages of claims.
+	sweepInterval = 15 * time.Second
 
-	// sweepPage is how many rows a page has.
-	sweepPage = 200
+	// sweepPageSize is the number of rows in a page.
+	sweepPageSize = 200
 )
 
 type (
-	// Lister reads pages of rows, besides what claims need.
+	// Lister is a Table that can also list rows by page.
 	Lister interface {
 		Table
 		List(ctx context.Context, prefix, after string, limit int) ([]kv.Row, error)
 	}
 
-	// Sweeper removes claims that are too old to matter. One node sweeps, the one
-	// that owns SweepKey.
+	// Sweeper removes expired claims. Only the node that owns SweepKey sweeps.
 	Sweeper struct {
-		table Lister
-		keep  time.Duration
-		owns  func() bool
-		log   *slog.Logger
-		after string // after is the last key of the page before.
+		table     Lister
+		retention time.Duration
+		isOwner   func() bool
+		log       *slog.Logger
+		cursor    string // cursor is the last key of the previous page.
 	}
 )
 
-// SweepKey is the key whose owner sweeps.
+// SweepKey is the key whose owner runs the sweeper.
 const SweepKey = "claim-sweep"
 
-// NewSweeper returns a sweeper that keeps rows for as long as keep by the
-// writers' clocks. It must be longer than keys are promised to be guarded, by
-// more than clocks may differ.
-func NewSweeper(table Lister, keep time.Duration, owns func() bool, log *slog.Logger) *Sweeper {
-	return &Sweeper{table: table, keep: keep, owns: owns, log: log}
+// NewSweeper returns a sweeper that keeps rows for the retention, measured by the
+// writers' clocks. The retention must exceed the promised lifetime of keys by more
+// than the clocks may differ.
+func NewSweeper(table Lister, retention time.Duration, isOwner func() bool, log *slog.Logger) *Sweeper {
+	return &Sweeper{table: table, retention: retention, isOwner: isOwner, log: log}
 }
 
-// Run sweeps a page now and then until the context ends.
+// Run sweeps one page per interval until the context ends.
 func (s *Sweeper) Run(ctx context.Context) {
-	tick := time.NewTicker(sweepEvery)
+	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -57,31 +56,31 @@
 			return
 		case <-tick.C:
 		}
-		if !s.owns() {
+		if !s.isOwner() {
 			continue
 		}
 		if removed, err := s.Page(ctx, clock.Now()); err != nil {
-			s.log.Debug("claims not swept", "error", err.Error())
+			s.log.Debug("failed to remove old claims", "error", err.Error())
 		} else if removed > 0 {
-			s.log.Info("old claims removed", "rows", removed)
+			s.log.Info("removed old claims", "rows", removed)
 		}
 	}
 }
 
-// Page removes the old rows of the next page and returns how many there were.
+// Page removes the expired rows of the next page and returns their number.
 func (s *Sweeper) Page(ctx context.Context, now time.Time) (int, error) {
-	rows, err := s.table.List(ctx, rowPrefix, s.after, sweepPage)
+	rows, err := s.table.List(ctx, rowPrefix, s.cursor, sweepPageSize)
 	if err != nil {
 		return 0, fmt.Errorf("list claims: %w", err)
 	}
-	s.after = ""
-	if len(rows) == sweepPage {
-		s.after = rows[len(rows)-1].Key
+	s.cursor = ""
+	if len(rows) == sweepPageSize {
+		s.cursor = rows[len(rows)-1].Key
 	}
 	var txn kv.Txn
 	for _, row := range rows {
 		var r Record
-		if err := json.Unmarshal(row.Value, &r); err != nil || now.Sub(time.UnixMilli(r.AtMs)) < s.keep {
+		if err := json.Unmarshal(row.Value, &r); err != nil || now.Sub(time.UnixMilli(r.AtMs)) < s.retention {
 			continue
 		}
 		txn.Checks = append(txn.Checks, kv.Check{Key: row.Key, Version: row.Version})
--- a/internal/claim/ticket.go
+++ b/internal/claim/ticket.go
@@ -13,31 +13,31 @@
 	"time"
 )
 
-// ticketPrefix marks an idempotency key that is a ticket.
+// ticketPrefix is the prefix of idempotency keys that are tickets.
 const ticketPrefix = "tkt1."
 
 var (
-	// ErrBadTicket says that a ticket is not one of this process for this team.
+	// ErrBadTicket reports a ticket that this process did not issue to this team.
 	ErrBadTicket = errors.New("claim: not a ticket of this process")
 
-	// ErrExpiredTicket says that a ticket's life is over; what became of it is
-	// not known any more.
+	// ErrExpiredTicket reports an expired ticket; the outcome of its request is
+	// no longer known.
 	ErrExpiredTicket = errors.New("claim: the ticket has expired")
 )
 
 type (
-	// Issuer issues tickets that only this process may run, and knows them
-	// again by a secret that dies with the process.
+	// Issuer issues tickets that only this process may run. It verifies them with
+	// a secret that exists only in the process's memory.
 	Issuer struct {
 		node        string
 		incarnation int
-		life        time.Duration
+		lifetime    time.Duration
 		secret      []byte
 		started     time.Time
 		next        atomic.Int64
 	}
 
-	// Ticket is what can be read from a ticket without the secret.
+	// Ticket is the part of a ticket that is readable without the secret.
 	Ticket struct {
 		Node        string
 		Incarnation int
@@ -45,18 +45,18 @@
 )
 
 // NewIssuer returns an issuer for one incarnation of a node.
-func NewIssuer(now time.Time, node string, incarnation int, life time.Duration) *Issuer {
+func NewIssuer(now time.Time, node string, incarnation int, lifetime time.Duration) *Issuer {
 	secret := make([]byte, sha256.Size)
 	if _, err := rand.Read(secret); err != nil {
-		panic(fmt.Sprintf("claim: no randomness: %v", err))
+		panic(fmt.Sprintf("claim: read random bytes: %v", err))
 	}
-	return &Issuer{node: node, incarnation: incarnation, life: life, secret: secret, started: now}
+	return &Issuer{node: node, incarnation: incarnation, lifetime: lifetime, secret: secret, started: now}
 }
 
-// Issue returns a new ticket for a team. Its life is counted on the process's
-// own monotonic clock.
+// Issue returns a new ticket for a team. Its lifetime is measured on the process's
+// monotonic clock.
 func (i *Issuer) Issue(now time.Time, team string) string {
-	expires := now.Add(i.life).Sub(i.started).Milliseconds()
+	expires := now.Add(i.lifetime).Sub(i.started).Milliseconds()
 	body := fmt.Sprintf("%s%s.%d.%d.%d", ticketPrefix, i.node, i.incarnation, i.next.Add(1), expires)
 	return body + "." + i.sign(body, team)
 }
@@ -68,7 +68,8 @@
 	return base64.RawURLEncoding.EncodeToString(mac.Sum(nil)[:16])
 }
 
-// Check accepts a ticket of this process that has not expired.
+// Check checks that a ticket was issued by this process to the team and has not
+// expired.
 func (i *Issuer) Check(now time.Time, ticket, team string) error {
 	cut := strings.LastIndexByte(ticket, '.')
 	if cut < 0 || !hmac.Equal([]byte(ticket[cut+1:]), []byte(i.sign(ticket[:cut], team))) {
@@ -85,10 +86,10 @@
 	return nil
 }
 
-// IsTicket reports whether an idempotency key is meant as a ticket.
+// IsTicket reports whether an idempotency key has the prefix of a ticket.
 func IsTicket(key string) bool { return strings.HasPrefix(key, ticketPrefix) }
 
-// ReadTicket returns which process issued a ticket; it proves nothing.
+// ReadTicket returns the process named in a ticket without verifying the ticket.
 func ReadTicket(ticket string) (Ticket, error) {
 	fields := strings.Split(strings.TrimPrefix(ticket, ticketPrefix), ".")
 	const parts = 5
