--- a/internal/claim/claim_test.go
+++ b/internal/claim/claim_test.go
@@ -75,14 +75,14 @@
 }
 
 // newClaimer returns a claimer for a node.
-func newClaimer(t *testing.T, tab *table, node string) *claim.Keeper {
-	k := claim.NewKeeper(tab, node, 1, time.Millisecond)
+func newClaimer(t *testing.T, tab *table, node string) *claim.Claimer {
+	k := claim.NewClaimer(tab, node, 1, time.Millisecond)
 	t.Cleanup(k.Close)
 	return k
 }
 
 // begin begins an attempt on a key that must be unclaimed.
-func begin(t *testing.T, k *claim.Keeper, key, id string) *claim.Attempt {
+func begin(t *testing.T, k *claim.Claimer, key, id string) *claim.Attempt {
 	t.Helper()
 	a, err := k.Begin(context.Background(), key, id)
 	if err != nil {
@@ -128,16 +128,16 @@
 
 // fakeForwarder forwards claims to another claimer.
 type fakeForwarder struct {
-	to          *claim.Keeper
+	to          *claim.Claimer
 	loseReplies bool
 }
 
-// Elsewhere always returns true.
-func (*fakeForwarder) Elsewhere() bool { return true }
+// ShouldForward always returns true.
+func (*fakeForwarder) ShouldForward() bool { return true }
 
 // Forward forwards a batch; with loseReplies the reply is lost after the write.
 func (g *fakeForwarder) Forward(ctx context.Context, batch *wire.ClaimBatch) (*wire.ClaimReply, error) {
-	reply, err := g.to.AnswerClaims(ctx, batch)
+	reply, err := g.to.HandleClaims(ctx, batch)
 	if err != nil || g.loseReplies {
 		return nil, errors.New("the answer was lost")
 	}
@@ -150,14 +150,14 @@
 func TestAggregator(t *testing.T) {
 	for _, loseReplies := range []bool{false, true} {
 		tab := &table{rows: map[string]kv.Row{}}
-		aggregator := claim.NewKeeper(tab, "n0", 1, 30*time.Millisecond)
+		aggregator := claim.NewClaimer(tab, "n0", 1, 30*time.Millisecond)
 		defer aggregator.Close()
 		var mu sync.Mutex
 		var wg sync.WaitGroup
 		won := map[string]int{}
 		for n := range 7 {
 			node := string(rune('a' + n))
-			k := claim.NewKeeper(tab, node, 1, time.Millisecond, claim.WithForwarder(&fakeForwarder{to: aggregator, loseReplies: loseReplies}))
+			k := claim.NewClaimer(tab, node, 1, time.Millisecond, claim.WithForwarder(&fakeForwarder{to: aggregator, loseReplies: loseReplies}))
 			defer k.Close()
 			for _, key := range []string{"same", "own-" + node} {
 				a := begin(t, k, key, node+key)
@@ -219,7 +219,7 @@
 // TestBatching checks that concurrent claims are written in few transactions.
 func TestBatching(t *testing.T) {
 	tab := &table{rows: map[string]kv.Row{}}
-	k := claim.NewKeeper(tab, "n1", 1, 50*time.Millisecond)
+	k := claim.NewClaimer(tab, "n1", 1, 50*time.Millisecond)
 	defer k.Close()
 	var wg sync.WaitGroup
 	for i := range 50 {
@@ -242,9 +242,9 @@
 	now := time.Unix(1000, 0)
 	i := claim.NewIssuer(now, "n1", 7, time.Minute)
 	ticket := i.Issue(now, "alfa")
-	read, err := claim.ReadTicket(ticket)
+	read, err := claim.ParseTicket(ticket)
 	if err != nil || read != (claim.Ticket{Node: "n1", Incarnation: 7}) {
-		t.Errorf("ReadTicket() = %+v, %v", read, err)
+		t.Errorf("ParseTicket() = %+v, %v", read, err)
 	}
 	for name, tc := range map[string]struct {
 		ticket, team string
@@ -257,8 +257,8 @@
 		"altered":        {strings.Replace(ticket, ".1.", ".2.", 1), "alfa", now, claim.ErrBadTicket},
 		"another start":  {claim.NewIssuer(now, "n1", 7, time.Minute).Issue(now, "alfa"), "alfa", now, claim.ErrBadTicket},
 	} {
-		if err := i.Check(tc.at, tc.ticket, tc.team); !errors.Is(err, tc.want) {
-			t.Errorf("%s: Check() = %v, want %v", name, err, tc.want)
+		if err := i.Verify(tc.at, tc.ticket, tc.team); !errors.Is(err, tc.want) {
+			t.Errorf("%s: Verify() = %v, want %v", name, err, tc.want)
 		}
 	}
 }
@@ -294,8 +294,8 @@
 		}
 	}
 	s := claim.NewSweeper(tab, 48*time.Hour, func() bool { return true }, slog.New(slog.DiscardHandler))
-	if removed, err := s.Page(context.Background(), now); err != nil || removed != 1 {
-		t.Errorf("Page() = %d, %v, want 1", removed, err)
+	if removed, err := s.SweepPage(context.Background(), now); err != nil || removed != 1 {
+		t.Errorf("SweepPage() = %d, %v, want 1", removed, err)
 	}
 	if _, err := k.Begin(context.Background(), "new", "x"); err == nil {
 		t.Error("the new claim was removed")
--- a/internal/claim/forward.go
+++ b/internal/claim/forward.go
@@ -27,15 +27,15 @@
 // Any node may safely write a claim: the version check on its row lets at most one
 // of two copies succeed, and the row records the attempt that holds the claim.
 type Forwarder interface {
-	// Elsewhere reports whether another node is the aggregator for this one.
-	Elsewhere() bool
+	// ShouldForward reports whether another node is the aggregator for this one.
+	ShouldForward() bool
 	// Forward sends a batch to the aggregator.
 	Forward(ctx context.Context, batch *wire.ClaimBatch) (*wire.ClaimReply, error)
 }
 
-// GatherKey returns the key whose owner is the aggregator for a node, given the
+// AggregatorKey returns the key whose owner is the aggregator for a node, given the
 // number of nodes.
-func GatherKey(node string, nodes int) string {
+func AggregatorKey(node string, nodes int) string {
 	sum := 0
 	for _, c := range node {
 		sum += int(c)
@@ -45,7 +45,7 @@
 
 // forwardBatch sends a batch to the aggregator, and writes the batch here if that
 // fails.
-func (c *Keeper) forwardBatch(batch []*op) {
+func (c *Claimer) forwardBatch(batch []*op) {
 	ctx, cancel := context.WithTimeout(context.Background(), forwardTimeout)
 	defer cancel()
 	request := &wire.ClaimBatch{}
@@ -80,9 +80,9 @@
 	return ErrUnsettled
 }
 
-// AnswerClaims writes another node's claims, batched with those of other nodes. It
+// HandleClaims writes another node's claims, batched with those of other nodes. It
 // is the handler of MethodClaims.
-func (c *Keeper) AnswerClaims(ctx context.Context, batch *wire.ClaimBatch) (any, error) {
+func (c *Claimer) HandleClaims(ctx context.Context, batch *wire.ClaimBatch) (any, error) {
 	ops := make([]*op, 0, len(batch.Rows))
 	for _, row := range batch.Rows {
 		o := &op{key: row.Key, version: row.Version, result: make(chan error, 1)}
--- a/internal/claim/keeper.go
+++ b/internal/claim/keeper.go
@@ -64,9 +64,9 @@
 		Version int // Version is the row's version.
 	}
 
-	// Keeper claims keys for one node. It batches concurrent claims into one
+	// Claimer claims keys for one node. It batches concurrent claims into one
 	// transaction, first at the node and then at the node's aggregator.
-	Keeper struct {
+	Claimer struct {
 		table       Table
 		forward     Forwarder
 		node        string
@@ -78,14 +78,14 @@
 		stop        context.CancelFunc
 	}
 
-	// Option configures a Keeper.
-	Option func(*Keeper)
+	// Option configures a Claimer.
+	Option func(*Claimer)
 
 	// Attempt is one attempt to run a request with a key.
 	Attempt struct {
 		ID string
 
-		claimer *Keeper
+		claimer *Claimer
 		key     string
 		version int // version is the row's version when the request arrived.
 	}
@@ -108,12 +108,12 @@
 func (e *TakenError) Void() bool { return e.Record.State == stateVoid }
 
 // WithForwarder makes the claimer forward its claims to an aggregator.
-func WithForwarder(f Forwarder) Option { return func(c *Keeper) { c.forward = f } }
+func WithForwarder(f Forwarder) Option { return func(c *Claimer) { c.forward = f } }
 
-// NewKeeper returns a claimer for one incarnation of a node; Close stops it.
-func NewKeeper(table Table, node string, incarnation int, batchDelay time.Duration, opts ...Option) *Keeper {
+// NewClaimer returns a claimer for one incarnation of a node; Close stops it.
+func NewClaimer(table Table, node string, incarnation int, batchDelay time.Duration, opts ...Option) *Claimer {
 	ctx, cancel := context.WithCancel(context.Background())
-	c := &Keeper{
+	c := &Claimer{
 		table: table, node: node, incarnation: incarnation, batchDelay: batchDelay,
 		forwards: make(chan *op), writes: make(chan *op), stop: cancel,
 	}
@@ -127,14 +127,14 @@
 }
 
 // Close stops the claimer and waits for its writes.
-func (c *Keeper) Close() {
+func (c *Claimer) Close() {
 	c.stop()
 	c.wg.Wait()
 }
 
 // Begin reads a key's row when a request arrives. It returns a *TakenError if the
 // key is claimed, and ErrUnsettled if the row can't be read.
-func (c *Keeper) Begin(ctx context.Context, key, attempt string) (*Attempt, error) {
+func (c *Claimer) Begin(ctx context.Context, key, attempt string) (*Attempt, error) {
 	row, err := c.table.Get(ctx, rowPrefix+key)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrUnsettled, err)
@@ -183,7 +183,7 @@
 func (a *Attempt) write(ctx context.Context, now time.Time, state string) error {
 	c := a.claimer
 	to := c.writes
-	if c.forward != nil && c.forward.Elsewhere() {
+	if c.forward != nil && c.forward.ShouldForward() {
 		to = c.forwards
 	}
 	o := &op{key: a.key, version: a.version, result: make(chan error, 1), record: Record{
@@ -199,7 +199,7 @@
 }
 
 // runBatches collects rows into batches and handles each batch in its own goroutine.
-func (c *Keeper) runBatches(ctx context.Context, from <-chan *op, handle func(batch []*op)) {
+func (c *Claimer) runBatches(ctx context.Context, from <-chan *op, handle func(batch []*op)) {
 	defer c.wg.Done()
 	var deferred []*op
 	for {
@@ -223,7 +223,7 @@
 
 // fillBatch adds the rows that arrive within the batch delay. A second row for the
 // same key is deferred to the next batch, where it will conflict with the first.
-func (c *Keeper) fillBatch(ctx context.Context, from <-chan *op, rows []*op) (batch, deferred []*op) {
+func (c *Claimer) fillBatch(ctx context.Context, from <-chan *op, rows []*op) (batch, deferred []*op) {
 	timer := time.NewTimer(c.batchDelay)
 	defer timer.Stop()
 	for _, o := range rows {
@@ -262,7 +262,7 @@
 
 // settle writes a batch to the platform until the result of each row is known or settleTimeout has passed.
 // A row whose version check fails is removed from the batch, and the rest is sent again.
-func (c *Keeper) settle(batch []*op) {
+func (c *Claimer) settle(batch []*op) {
 	ctx, cancel := context.WithTimeout(context.Background(), settleTimeout)
 	defer cancel()
 	uncertain := false
@@ -301,7 +301,7 @@
 
 // resolveConflict completes the rows listed in a conflict and returns the others. A
 // row that holds the same attempt was written by an earlier, uncertain write.
-func (c *Keeper) resolveConflict(batch []*op, conflict *kv.ConflictError) []*op {
+func (c *Claimer) resolveConflict(batch []*op, conflict *kv.ConflictError) []*op {
 	rows := make(map[string]kv.Row, len(conflict.Rows))
 	for _, r := range conflict.Rows {
 		rows[r.Key] = r
--- a/internal/claim/sweeper.go
+++ b/internal/claim/sweeper.go
@@ -59,7 +59,7 @@
 		if !s.isOwner() {
 			continue
 		}
-		if removed, err := s.Page(ctx, clock.Now()); err != nil {
+		if removed, err := s.SweepPage(ctx, clock.Now()); err != nil {
 			s.log.Debug("failed to remove old claims", "error", err.Error())
 		} else if removed > 0 {
 			s.log.Info("removed old claims", "rows", removed)
@@ -67,8 +67,8 @@
 	}
 }
 
-// Page removes the expired rows of the next page and returns their number.
-func (s *Sweeper) Page(ctx context.Context, now time.Time) (int, error) {
+// SweepPage removes the expired rows of the next page and returns their number.
+func (s *Sweeper) SweepPage(ctx context.Context, now time.Time) (int, error) {
 	rows, err := s.table.List(ctx, rowPrefix, s.cursor, sweepPageSize)
 	if err != nil {
 		return 0, fmt.Errorf("list claims: %w", err)
--- a/internal/claim/ticket.go
+++ b/internal/claim/ticket.go
@@ -68,9 +68,9 @@
 	return base64.RawURLEncoding.EncodeToString(mac.Sum(nil)[:16])
 }
 
-// Check checks that a ticket was issued by this process to the team and has not
+// Verify checks that a ticket was issued by this process to the team and has not
 // expired.
-func (i *Issuer) Check(now time.Time, ticket, team string) error {
+func (i *Issuer) Verify(now time.Time, ticket, team string) error {
 	cut := strings.LastIndexByte(ticket, '.')
 	if cut < 0 || !hmac.Equal([]byte(ticket[cut+1:]), []byte(i.sign(ticket[:cut], team))) {
 		return ErrBadTicket
@@ -89,8 +89,8 @@
 // IsTicket reports whether an idempotency key has the prefix of a ticket.
 func IsTicket(key string) bool { return strings.HasPrefix(key, ticketPrefix) }
 
-// ReadTicket returns the process named in a ticket without verifying the ticket.
-func ReadTicket(ticket string) (Ticket, error) {
+// ParseTicket returns the process named in a ticket without verifying the ticket.
+func ParseTicket(ticket string) (Ticket, error) {
 	fields := strings.Split(strings.TrimPrefix(ticket, ticketPrefix), ".")
 	const parts = 5
 	if !IsTicket(ticket) || len(fields) != parts {
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -72,7 +72,7 @@
 		journal    *journal.Journal
 		tele       *telemetry.Telemetry
 		limits     Limits
-		claims     *claim.Keeper
+		claims     *claim.Claimer
 		issuer     *claim.Issuer
 		registry   *claim.Registry
 		budget     *retryBudget
@@ -89,7 +89,7 @@
 }
 
 // WithClaims sets what makes requests run at most once.
-func WithClaims(k *claim.Keeper, i *claim.Issuer, r *claim.Registry) Option {
+func WithClaims(k *claim.Claimer, i *claim.Issuer, r *claim.Registry) Option {
 	return func(f *Front) { f.claims, f.issuer, f.registry = k, i, r }
 }
 
--- a/internal/front/once.go
+++ b/internal/front/once.go
@@ -122,7 +122,7 @@
 // sending of it that comes late, by way of another node, must not run after the
 // caller was told not_run.
 func (f *Front) runTicket(ctx context.Context, rec *recorder, c *call, x exchange, run *claim.Run) ending {
-	if err := f.issuer.Check(clock.Now(), c.key, c.team.Name); err != nil {
+	if err := f.issuer.Verify(clock.Now(), c.key, c.team.Name); err != nil {
 		e := &CallerError{Status: http.StatusBadRequest, Code: "bad_ticket", Message: "the ticket is not valid for this team"}
 		if errors.Is(err, claim.ErrExpiredTicket) {
 			e = unknown("the ticket has expired")
--- a/internal/front/once_test.go
+++ b/internal/front/once_test.go
@@ -47,7 +47,7 @@
 // attempt that began before can claim it any more, and that a new try may run.
 func TestRefusalIsMadeCertain(t *testing.T) {
 	r := newRig(t, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "accepted") })
-	stale := claim.NewKeeper(r.table, "n2", 1, time.Millisecond)
+	stale := claim.NewClaimer(r.table, "n2", 1, time.Millisecond)
 	defer stale.Close()
 	attempt, err := stale.Begin(context.Background(), "alfa/k1", "stale")
 	if err != nil {
--- a/internal/front/rig_test.go
+++ b/internal/front/rig_test.go
@@ -175,7 +175,7 @@
 	r := &rig{sched: &inTurn{views: views{view}}, table: &table{rows: map[string]kv.Row{}}}
 	client := engine.NewClient(2 * time.Second)
 	t.Cleanup(client.Close)
-	keeper := claim.NewKeeper(r.table, "n1", 1, time.Millisecond)
+	keeper := claim.NewClaimer(r.table, "n1", 1, time.Millisecond)
 	t.Cleanup(keeper.Close)
 	f := front.New(views{view}, alone{}, alone{}, client, journal.New(), tele,
 		front.WithScheduler(config.PoolSchedulerDirect, r.sched),
--- a/internal/front/ticket.go
+++ b/internal/front/ticket.go
@@ -60,7 +60,7 @@
 		return false
 	}
 	c.notRepeatable = true
-	ticket, err := claim.ReadTicket(c.key)
+	ticket, err := claim.ParseTicket(c.key)
 	if err != nil {
 		f.fail(w, c.id, &CallerError{Status: http.StatusBadRequest, Code: "bad_ticket", Message: "the key looks like a ticket but is none"})
 		return true
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -53,7 +53,7 @@
 	brokered *sched.Brokered
 	engines  *engine.Client
 	orders   *order.Service
-	claims   *claim.Keeper
+	claims   *claim.Claimer
 	sweeper  *claim.Sweeper
 	front    *front.Front
 	admin    *admin.Admin
@@ -125,7 +125,7 @@
 	n.brokered = sched.NewBrokered(n.table, n.brokers, n.client, n.store, n.shared, log)
 	n.engines = engine.NewClient(ms(s.EngineStallMs))
 	n.orders = order.New(n.store, n.platform, n.engines, n.brokers, s.Instance, log)
-	n.claims = claim.NewKeeper(n.platform, s.Instance, self.Incarnation, ms(s.ClaimGatherMs), claim.WithForwarder(n))
+	n.claims = claim.NewClaimer(n.platform, s.Instance, self.Incarnation, ms(s.ClaimGatherMs), claim.WithForwarder(n))
 	n.sweeper = claim.NewSweeper(n.platform, time.Duration(s.ClaimKeepHours)*time.Hour, n.sweeps, log)
 	n.front = front.New(n.store, n.table, n.client, n.engines, n.journal, n.tele,
 		front.WithScheduler(config.PoolSchedulerBroker, n.brokered),
@@ -151,7 +151,7 @@
 	n.server.Handle(broker.MethodPulse, peer.Typed(n.brokers.Pulse))
 	n.server.Handle(front.MethodOutcome, peer.Typed(n.front.AnswerOutcome))
 	n.server.Handle(front.MethodRun, peer.Typed(n.front.AnswerRun))
-	n.server.Handle(claim.MethodClaims, peer.Typed(n.claims.AnswerClaims))
+	n.server.Handle(claim.MethodClaims, peer.Typed(n.claims.HandleClaims))
 	n.server.Handle(methodChanges, peer.Typed(func(_ context.Context, r *wire.ChangesRequest) (any, error) {
 		return n.keeper.Answer(r.After)
 	}))
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -78,11 +78,11 @@
 
 // gatherer returns the node that gathers this node's claims.
 func (n *Node) gatherer() (wire.Member, bool) {
-	return n.table.Owner(claim.GatherKey(n.settings.Instance, n.table.Len()))
+	return n.table.Owner(claim.AggregatorKey(n.settings.Instance, n.table.Len()))
 }
 
-// Elsewhere reports whether another node gathers this node's claims.
-func (n *Node) Elsewhere() bool {
+// ShouldForward reports whether another node gathers this node's claims.
+func (n *Node) ShouldForward() bool {
 	owner, ok := n.gatherer()
 	return ok && owner.Name != n.settings.Instance
 }
