--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,8 +1,7 @@
-// Package discovery follows the entries of engines and decides which of them
-// get new work. Entries also go while the platform's store is away, though the
-// engines live, and come back soon after; an engine that said that it leaves
-// gets no new work any more, whatever its entry says later, until it has started again.
-// An entry that can't be understood names no engine to use.
+// Package discovery follows the entries of engines in the platform's store and decides which engines get new work.
+// Entries also disappear while the store is unavailable although the engines run, and reappear soon after. An engine that
+// announced that it is leaving gets no new work until it has restarted, whatever its entry says later. An engine with an
+// invalid entry gets no work.
 package discovery
 
 import (
@@ -18,89 +17,89 @@
 )
 
 const (
-	// unsettledMost bounds how long after the store's return an engine without entry
+	// maxMissingGrace bounds how long after the store's return an engine without an entry
 	// is still used: engines write their entries again within two seconds.
-	unsettledMost = 1800 * time.Millisecond
+	maxMissingGrace = 1800 * time.Millisecond
 
-	// linesMost is how many engines taken at once are logged one by one. At a start there are
-	// some hundred, and as many nodes that take them.
-	linesMost = 20
+	// maxLogLines is how many entries of one batch are logged individually. At a start there are
+	// some hundred engines, and as many nodes that read them.
+	maxLogLines = 20
 
-	// unsettledShare of the time in which new work must stop is at most used for that.
-	unsettledShare = 0.9
+	// missingGraceShare is the share of the drain time that the grace period may use at most.
+	missingGraceShare = 0.9
 )
 
 type (
-	// Decode returns the engine of a row.
+	// Decode decodes the engine of a row.
 	Decode func(now time.Time, row feed.Row) (placement.Engine, error)
 
-	// Engines takes the engines that may get work.
+	// Engines is told which engines may get work.
 	Engines interface {
 		Set(e placement.Engine)
 		Remove(id string)
 
-		// Drain has an engine get no new work from now on.
+		// Drain stops new work for an engine.
 		Drain(id string)
 	}
 
-	// Discovery follows entries.
+	// Discovery follows the entries of engines.
 	Discovery struct {
 		decode  Decode
 		engines Engines
 		log     *slog.Logger
 
-		unsettledFor time.Duration // unsettledFor is how long an engine without entry is used after the store's return.
+		missingGrace time.Duration // missingGrace is how long an engine without an entry is used after the store's return.
 
-		mu      sync.Mutex
-		lostAt  time.Time              // lostAt is when the store last could not be called.
-		missing map[string]time.Time   // missing holds engines without entry, and when they are dropped.
-		known   map[string]incarnation // known holds the present incarnation of all engines that were ever known.
-		said    news.List              // said holds the engines with an entry that said in an answer that they leave.
-		refused int64                  // refused counts the changes by which an entry could not be understood.
+		mu          sync.Mutex
+		storeLostAt time.Time              // storeLostAt is when the store was last unavailable.
+		dropAt      map[string]time.Time   // dropAt is when each engine without an entry is to be removed.
+		known       map[string]incarnation // known holds the present incarnation of every engine ever seen.
+		leaving     news.List              // leaving holds the engines with an entry that announced in an answer that they are leaving.
+		refused     int64                  // refused counts the updates rejected because the entry was invalid.
 	}
 
-	// incarnation is one of an engine's, from its start.
+	// incarnation is one run of an engine, from its start.
 	incarnation struct {
-		born     int64 // born is what the engine says of its start; 0 if nothing.
-		since    int64 // since is the version of the entry by which it was known first.
-		draining bool  // draining says that it once said that it leaves.
+		born         int64 // born is the start time that the engine reports; 0 if none.
+		firstVersion int64 // firstVersion is the version of the first entry of this incarnation.
+		draining     bool  // draining is set once the engine announced that it is leaving.
 
-		saidAt time.Time // saidAt is when this node learned that an answer of it said so; zero if none did.
+		learnedAt time.Time // learnedAt is when this node learned of an answer that announced it; zero if there was none.
 	}
 )
 
-// errNotBorn says that an entry lacks what the engine said before.
-var errNotBorn = errors.New("the entry no longer tells of the engine's start")
+// errStartMissing is returned for an entry without a start time if the engine reported one before.
+var errStartMissing = errors.New("the entry no longer has the engine's start time")
 
-// New returns a discovery that tells engines to a placement; new work at an engine
-// that left must stop within drain.
+// New returns a Discovery that reports to engines. New work at an engine that left must stop
+// within drain.
 func New(decode Decode, engines Engines, drain time.Duration, log *slog.Logger) *Discovery {
-	unsettled := min(unsettledMost, time.Duration(unsettledShare*float64(drain)))
-	return &Discovery{decode: decode, engines: engines, log: log, unsettledFor: unsettled, missing: map[string]time.Time{}, known: map[string]incarnation{}}
+	grace := min(maxMissingGrace, time.Duration(missingGraceShare*float64(drain)))
+	return &Discovery{decode: decode, engines: engines, log: log, missingGrace: grace, dropAt: map[string]time.Time{}, known: map[string]incarnation{}}
 }
 
-// Lost records that the store could not be called at a moment.
-func (d *Discovery) Lost(at time.Time) {
+// StoreUnavailable records that the store was unavailable at a time.
+func (d *Discovery) StoreUnavailable(at time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if at.After(d.lostAt) {
-		d.lostAt = at
+	if at.After(d.storeLostAt) {
+		d.storeLostAt = at
 	}
 }
 
-// Take takes changed entries; it is a feed.Consumer.
-func (d *Discovery) Take(now time.Time, rows []feed.Row) {
-	each := len(rows) <= linesMost
+// Apply applies changed entries; it is a feed.Consumer.
+func (d *Discovery) Apply(now time.Time, rows []feed.Row) {
+	logEach := len(rows) <= maxLogLines
 	taken, draining, refused := 0, 0, 0
 	for _, r := range rows {
 		if r.Deleted {
-			d.miss(now, r.Key)
+			d.entryDeleted(now, r.Key)
 			continue
 		}
-		leaves, err := d.takeEntry(now, r, each)
+		leaves, err := d.applyEntry(now, r, logEach)
 		if err != nil {
 			refused++
-			d.refuse(r.Key, err, refused <= linesMost)
+			d.rejectEntry(r.Key, err, refused <= maxLogLines)
 			continue
 		}
 		taken++
@@ -108,94 +107,94 @@
 			draining++
 		}
 	}
-	if !each {
-		d.log.Info("engines", "taken", taken, "draining", draining, "refused", refused, "rows", len(rows))
+	if !logEach {
+		d.log.Info("engine entries applied", "taken", taken, "draining", draining, "refused", refused, "rows", len(rows))
 	}
 }
 
-// takeEntry takes one entry and reports whether the engine leaves.
-func (d *Discovery) takeEntry(now time.Time, r feed.Row, log bool) (draining bool, err error) {
+// applyEntry applies one entry and reports whether the engine is draining.
+func (d *Discovery) applyEntry(now time.Time, r feed.Row, log bool) (draining bool, err error) {
 	e, err := d.decode(now, r)
 	if err != nil {
 		return false, err
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	present, known := d.known[e.ID]
-	if known && present.born != 0 && e.Born == 0 {
-		return false, errNotBorn
+	current, known := d.known[e.ID]
+	if known && current.born != 0 && e.Born == 0 {
+		return false, errStartMissing
 	}
-	if known && present.born != e.Born {
-		d.log.Info("engine started again", "engine", e.ID, "born", e.Born, "before", present.born, "version", r.Version)
+	if known && current.born != e.Born {
+		d.log.Info("engine restarted", "engine", e.ID, "born", e.Born, "before", current.born, "version", r.Version)
 	}
-	if !known || present.born != e.Born {
-		present = incarnation{born: e.Born, since: r.Version}
-		d.said.Remove(e.ID)
+	if !known || current.born != e.Born {
+		current = incarnation{born: e.Born, firstVersion: r.Version}
+		d.leaving.Remove(e.ID)
 	}
-	present.draining = present.draining || e.Draining
-	d.known[e.ID] = present
-	if !present.saidAt.IsZero() {
-		d.said.Add(e.ID)
+	current.draining = current.draining || e.Draining
+	d.known[e.ID] = current
+	if !current.learnedAt.IsZero() {
+		d.leaving.Add(e.ID)
 	}
-	e.Draining, e.Since = present.draining, present.since
-	delete(d.missing, e.ID)
+	e.Draining, e.Since = current.draining, current.firstVersion
+	delete(d.dropAt, e.ID)
 	if log {
-		d.log.Info("engine", "engine", e.ID, "pool", e.Pool, "address", e.Address, "hall", e.Hall, "draining", e.Draining, "version", r.Version)
+		d.log.Info("engine entry applied", "engine", e.ID, "pool", e.Pool, "address", e.Address, "hall", e.Hall, "draining", e.Draining, "version", r.Version)
 	}
 	d.engines.Set(e)
 	return e.Draining, nil
 }
 
-// refuse gives an engine no new work whose entry can't be understood.
-func (d *Discovery) refuse(id string, cause error, log bool) {
+// rejectEntry removes an engine that has an invalid entry, so that it gets no work.
+func (d *Discovery) rejectEntry(id string, cause error, log bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.refused++
-	delete(d.missing, id)
+	delete(d.dropAt, id)
 	d.engines.Remove(id)
 	if log {
 		d.log.Error("entry not understood; the engine gets no work", "engine", id, "error", cause.Error())
 	}
 }
 
-// Refused returns how many changes of entries could not be understood so far.
+// Refused returns the number of updates rejected because the entry was invalid.
 func (d *Discovery) Refused() int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.refused
 }
 
-// miss drops an engine without entry: at once, or after a while where the store
-// was away.
-func (d *Discovery) miss(now time.Time, id string) {
+// entryDeleted removes an engine whose entry was deleted: at once, or after a grace period if the store
+// was unavailable shortly before.
+func (d *Discovery) entryDeleted(now time.Time, id string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	settled := d.lostAt.IsZero() || now.Sub(d.lostAt) > d.unsettledFor
-	if _, known := d.missing[id]; !settled && !known {
-		d.missing[id] = now.Add(d.unsettledFor)
-		time.AfterFunc(d.unsettledFor, func() { d.Expire(clock.Now()) })
+	storeStable := d.storeLostAt.IsZero() || now.Sub(d.storeLostAt) > d.missingGrace
+	if _, known := d.dropAt[id]; !storeStable && !known {
+		d.dropAt[id] = now.Add(d.missingGrace)
+		time.AfterFunc(d.missingGrace, func() { d.Expire(clock.Now()) })
 	}
-	if settled {
+	if storeStable {
 		d.remove(id, "its entry is gone")
 	}
 }
 
-// Expire drops engines whose entries did not come back.
+// Expire removes the engines whose entries did not come back within the grace period.
 func (d *Discovery) Expire(now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for id, at := range d.missing {
+	for id, at := range d.dropAt {
 		if !now.Before(at) {
-			delete(d.missing, id)
-			d.remove(id, "its entry did not come back after the store was away")
+			delete(d.dropAt, id)
+			d.remove(id, "its entry did not come back after the store was unavailable")
 		}
 	}
 }
 
-// remove drops an engine; the caller holds the lock, so that an entry which comes
-// back meanwhile is taken after it.
+// remove removes an engine. The caller holds the lock, so that an entry which comes
+// back meanwhile is applied after it.
 func (d *Discovery) remove(id, reason string) {
 	d.log.Info("engine removed", "engine", id, "reason", reason)
-	d.said.Remove(id)
+	d.leaving.Remove(id)
 	d.engines.Remove(id)
 }
--- a/internal/edge/absence.go
+++ b/internal/edge/absence.go
@@ -21,8 +21,8 @@
 	if away < minAbsence {
 		return
 	}
-	e.proof.Forget(now)
-	e.dispatcher.Returned(now)
+	e.proof.Invalidate(now)
+	e.dispatcher.Resumed(now)
 	e.egress.ForgetAll()
 	e.absences.Add(1)
 	select {
