--- a/internal/broker/grant.go
+++ b/internal/broker/grant.go
@@ -28,7 +28,7 @@
 		if e == nil {
 			return
 		}
-		if !p.queue.Owed(it.Class) && p.freeSlotsReserved(now, it.Class, free, slots) {
+		if !p.queue.BelowMinShare(it.Class) && p.freeSlotsReserved(now, it.Class, free, slots) {
 			return
 		}
 		p.queue.Pop(now)
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -266,7 +266,7 @@
 				return respond(http.StatusOK, "fine"), nil
 			}
 			again := a.Engine
-			again.Born++
+			again.Incarnation++
 			if c.withSigns {
 				p.Set(again)
 				return respond(http.StatusOK, "fine"), nil
--- a/internal/dispatch/permit.go
+++ b/internal/dispatch/permit.go
@@ -54,13 +54,13 @@
 func (x *exchange) acquirePermit(ctx context.Context, request placement.Request) *Refusal {
 	for try := 1; x.choice.Limited && x.d.permits != nil; try++ {
 		now := clock.Now()
-		request.Unlimited = true
+		request.ExcludeLimited = true
 		other, exempt := x.d.placement.Choose(now, request)
 		if exempt && try > maxPermitAttempts {
 			x.choice = other
 			return nil
 		}
-		longest, left := time.Duration(0), x.choice.Opens.Sub(now)
+		longest, left := time.Duration(0), x.choice.AvailableAt.Sub(now)
 		if !exempt {
 			longest = x.permitWaitLimit(now)
 		}
@@ -70,7 +70,7 @@
 		if x.requestPermit(ctx, now, longest) {
 			return x.recheckAfterWait(ctx)
 		}
-		request.Unlimited = false
+		request.ExcludeLimited = false
 		now = clock.Now()
 		choice, ok := x.pickEngine(now, request)
 		if !ok {
--- a/internal/dispatch/said.go
+++ b/internal/dispatch/said.go
@@ -26,10 +26,10 @@
 	}
 	if resp.Rest > 0 {
 		x.d.log.Info("engine asked for a pause", "request", x.req.ID, "engine", engine, "rest_ms", resp.Rest.Milliseconds(), "status", resp.Status, "not_run", resp.NotRun)
-		x.d.placement.Rest(now, engine, resp.Rest)
+		x.d.placement.BackOff(now, engine, resp.Rest)
 	}
 	if x.d.leaveObserver != nil && resp.Leaving {
-		x.d.leaveObserver.Leaves(now, engine, x.choice.Engine.Born)
+		x.d.leaveObserver.Leaves(now, engine, x.choice.Engine.Incarnation)
 	}
 	if x.d.permits != nil {
 		x.d.permits.Answered(now, x.sentAt, engine, resp.Limit, resp.Limited)
--- a/internal/dispatch/tiers.go
+++ b/internal/dispatch/tiers.go
@@ -181,7 +181,7 @@
 		if !tierInUse(all, higher) {
 			continue
 		}
-		short := p.shortOfSlots(choice.Scarce)
+		short := p.shortOfSlots(choice.SlotsScarce)
 		share := float64(short) / float64(p.Requests)
 		switch {
 		case short < shortageMin:
@@ -193,7 +193,7 @@
 		topTier = false
 	}
 	if !topTier {
-		shed = max(shed, prefillExcess(all, queueTier(tier), choice.Free))
+		shed = max(shed, prefillExcess(all, queueTier(tier), choice.Usable))
 	}
 	return topTier, shed
 }
--- a/internal/edge/duties.go
+++ b/internal/edge/duties.go
@@ -74,10 +74,10 @@
 		if p.Scaling == nil {
 			continue
 		}
-		halls := n.e.placement.Present(p.Name)
-		for hall := range p.Scaling.Prices {
+		halls := n.e.placement.HallEngines(p.Name)
+		for hall := range p.Scaling.HallPrices {
 			if _, ok := halls[hall]; !ok {
-				halls[hall] = scaling.Seen{} // Engines may be ordered in a hall that has none yet.
+				halls[hall] = scaling.HallState{} // Engines may be ordered in a hall that has none yet.
 			}
 		}
 		out = append(out, duty.Pool{Name: p.Name, Limits: *p.Scaling, Halls: halls})
@@ -87,7 +87,7 @@
 
 // Work returns, by pool, the prefill work that this node has sent to engines so far, in
 // milliseconds of an engine.
-func (n dutyNode) Work() map[string]scaling.Demand { return n.e.placement.Work() }
+func (n dutyNode) Work() map[string]scaling.Demand { return n.e.placement.PrefillWork() }
 
 // announcedHolder returns the duty holder that this node announces to its peers.
 func (e *Edge) announcedHolder(now time.Time) gossip.Holder {
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -70,13 +70,13 @@
 // had received by then, zero if there is none. The age of the peer's proof is counted from
 // received, which is on this node's clock and not later than the report.
 func (e *Edge) HandlePeerState(now time.Time, p gossip.NodeInfo, s gossip.State, received time.Time) {
-	e.placement.Peer(now, p.Name, s.Versions[platform.TableEngines], s.Loads, s.Uses)
+	e.placement.UpdatePeer(now, p.Name, s.Versions[platform.TableEngines], s.Loads, s.Uses)
 	e.dispatcher.SetPeerTierStats(now, p.Name, s.Places)
 	e.quarantine.MergeGossip(now, s.Crashing)
 	e.limits.MergeGossip(now, s.Limits)
 	e.discovery.MergeGossip(now, s.Leaving)
 	e.receiveHolder(now, s.Holder)
-	e.follower.Heard(p.PeerAddress, s.Versions)
+	e.follower.ObserveVersions(p.PeerAddress, s.Versions)
 	if s.ProofAgeMs >= 0 && !received.IsZero() && s.ConfigVersion > 0 && s.ConfigVersion <= e.dispatcher.Version() {
 		e.proof.Renew(received.Add(-time.Duration(s.ProofAgeMs) * time.Millisecond))
 	}
--- a/internal/placement/call.go
+++ b/internal/placement/call.go
@@ -3,50 +3,51 @@
 import "time"
 
 const (
-	// Answered says that the engine answered as it should.
+	// Answered means that the engine answered normally.
 	Answered Outcome = iota
 
-	// Failed says that the engine failed: it broke off, did not answer, or
-	// answered with a failure of its own.
+	// Failed means that the engine failed: it broke the connection, did not answer, or returned
+	// an error of its own.
 	Failed
 
-	// Turned says that the engine turned the request away without running it.
-	Turned
+	// Rejected means that the engine rejected the request without running it.
+	Rejected
 
-	// Asked says that the engine turned the request away and asked for rest, which is no failure.
-	Asked
+	// Throttled means that the engine rejected the request and asked for a backoff, which does
+	// not count as a failure.
+	Throttled
 
-	// Left says that the request ended for a reason that is not the engine's.
-	Left
+	// Aborted means that the request ended for a reason unrelated to the engine.
+	Aborted
 )
 
 type (
-	// Outcome is how a call ended, as far as it tells of the engine.
+	// Outcome is the result of a call as far as it concerns the engine's health.
 	Outcome int
 
-	// Call is one request at one engine, from its sending to its end.
+	// Call is one request to one engine, from sending to completion.
 	Call struct {
-		p      *Placement
-		engine *engine
-		load   Load
-		start  time.Time
-		wait   time.Duration // wait is how long the engine was expected to take before it begins
-		ahead  int           // ahead is how many tokens it was expected to read until then
-		read   float64       // read is the rate that was expected, in tokens a millisecond
+		p            *Placement
+		engine       *engine
+		load         Load
+		start        time.Time
+		wait         time.Duration // expected time until the answer begins
+		queuedTokens int           // prompt tokens that the engine was expected to process until then
+		prefillRate  float64       // expected rate, in tokens per millisecond
 
-		stream bool      // stream says that the answer is a stream whose pauses matter
-		heard  time.Time // heard is when bytes last came
-		signed time.Time // signed is when the engine last gave a sign, by the head of its answer or by bytes
+		stream   bool      // the answer is a stream whose gaps matter
+		lastData time.Time // when data last arrived
+		lastSign time.Time // when the engine last responded, with the response header or data
 
-		lost   bool   // lost says that the engine has started again since
-		onLost func() // onLost is called then; it may be nil
+		lost   bool   // the engine has restarted since
+		onLost func() // called when the request is lost; may be nil
 
 		began bool
 		ended bool
 	}
 )
 
-// Start records that a request is sent to an engine.
+// Start records that a request is being sent to an engine.
 func (p *Placement) Start(now time.Time, c Choice, r Request) *Call {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -55,70 +56,70 @@
 		e = newEngine(c.Engine)
 	}
 	call := &Call{
-		p: p, engine: e, load: Load{Unread: c.Unread, InFlight: 1}, start: now, wait: time.Duration(c.Wait * float64(time.Millisecond)),
-		ahead: c.Ahead, read: c.Read, stream: r.MaxGap > 0, signed: now,
+		p: p, engine: e, load: Load{PrefillTokens: c.PrefillTokens, InFlight: 1}, start: now, wait: time.Duration(c.Wait * float64(time.Millisecond)),
+		queuedTokens: c.QueuedTokens, prefillRate: c.PrefillRate, stream: r.MaxGap > 0, lastSign: now,
 	}
 	if e.calls == nil {
 		e.calls = map[*Call]bool{}
 	}
 	e.calls[call] = true
 	p.noteTrial(now, call)
-	p.noteCold(now, p.knownPool(r.Pool), e)
-	if c.Unread > 0 {
-		p.noteWork(r, float64(c.Unread)/c.Read)
-		p.knownPool(r.Pool).noteRead(c.Unread, c.Tight)
+	p.noteCold(now, p.poolState(r.Pool), e)
+	if c.PrefillTokens > 0 {
+		p.addWork(r, float64(c.PrefillTokens)/c.PrefillRate)
+		p.poolState(r.Pool).notePrefill(c.PrefillTokens, c.GapSensitive)
 	}
-	if c.Tight {
+	if c.GapSensitive {
 		call.load.Streams = 1
-		p.knownPool(r.Pool).noteTight(r.MaxGap)
+		p.poolState(r.Pool).noteStreamGap(r.MaxGap)
 	}
 	if e.own.InFlight == 0 {
-		e.heardAt = now
+		e.lastData = now
 	}
 	e.own = e.own.add(call.load)
 	for _, part := range r.Prompt.Shared {
-		p.cache.use(now, e.ID, part.ID)
+		p.cache.recordUse(now, e.ID, part.ID)
 		p.uses = append(p.uses, Use{Engine: e.ID, Part: part.ID})
 	}
 	return call
 }
 
-// Began records that the engine has read the prompt: its answer has begun.
+// Began records that the engine has processed the prompt and its answer has begun.
 func (c *Call) Began(now time.Time) {
 	c.p.mu.Lock()
 	defer c.p.mu.Unlock()
-	c.engine.heardAt = now
+	c.engine.lastData = now
 	if !c.began {
-		c.began, c.signed = true, now
-		c.p.endRest(c)
-		c.engine.own.Unread -= c.load.Unread
+		c.began, c.lastSign = true, now
+		c.p.endBackoff(c)
+		c.engine.own.PrefillTokens -= c.load.PrefillTokens
 		c.engine.pace.note(now, now.Sub(c.start), c.wait)
-		if own := float64(c.load.Unread); own >= readLeast && own >= readAlone*float64(c.ahead) {
-			c.engine.reading.note(now, float64(c.ahead), now.Sub(c.start)-readFloor, c.read)
+		if own := float64(c.load.PrefillTokens); own >= minSampleTokens && own >= minSampleShare*float64(c.queuedTokens) {
+			c.engine.prefill.note(now, float64(c.queuedTokens), now.Sub(c.start)-prefillOverhead, c.prefillRate)
 		}
 	}
 }
 
-// Heard records that bytes came from the engine.
-func (c *Call) Heard(now time.Time) {
+// Received records that data arrived from the engine.
+func (c *Call) Received(now time.Time) {
 	c.p.mu.Lock()
 	defer c.p.mu.Unlock()
-	c.engine.heardAt = now
-	if c.stream && !c.heard.IsZero() {
-		c.p.knownPool(c.engine.Pool).notePause(c.engine, now.Sub(c.heard))
+	c.engine.lastData = now
+	if c.stream && !c.lastData.IsZero() {
+		c.p.poolState(c.engine.Pool).noteGap(c.engine, now.Sub(c.lastData))
 	}
-	c.heard, c.signed = now, now
+	c.lastData, c.lastSign = now, now
 }
 
-// Quiet returns for how long nothing has come from the engine for this request.
-func (c *Call) Quiet(now time.Time) time.Duration {
+// Idle returns how long the engine has sent nothing for this request.
+func (c *Call) Idle(now time.Time) time.Duration {
 	c.p.mu.Lock()
 	defer c.p.mu.Unlock()
-	return now.Sub(c.signed)
+	return now.Sub(c.lastSign)
 }
 
-// OnLost has a function called once it is known that the engine has started again since
-// the request was sent.
+// OnLost registers a function to call once the engine is known to have restarted after the
+// request was sent. If that is already known, it calls the function at once.
 func (c *Call) OnLost(f func()) {
 	c.p.mu.Lock()
 	lost := c.lost
@@ -129,8 +130,8 @@
 	}
 }
 
-// lose records that the engine has started again. The caller does not hold the lock.
-func (c *Call) lose() {
+// markLost records that the engine has restarted. The caller must not hold the lock.
+func (c *Call) markLost() {
 	c.p.mu.Lock()
 	c.lost = true
 	f := c.onLost
@@ -140,14 +141,14 @@
 	}
 }
 
-// Report records what the engine told of its load.
+// Report records the load that the engine reported.
 func (c *Call) Report(now time.Time, running, waiting int) {
 	c.p.mu.Lock()
 	defer c.p.mu.Unlock()
 	c.engine.reported = report{running: running, waiting: waiting, at: now}
 }
 
-// End records the end of the request; later calls change nothing.
+// End records the end of the request; further calls have no effect.
 func (c *Call) End(now time.Time, o Outcome) {
 	c.p.mu.Lock()
 	defer c.p.mu.Unlock()
@@ -155,22 +156,22 @@
 		return
 	}
 	c.ended = true
-	c.p.endRest(c)
+	c.p.endBackoff(c)
 	delete(c.engine.calls, c)
 	if !c.began {
-		c.engine.own.Unread -= c.load.Unread
+		c.engine.own.PrefillTokens -= c.load.PrefillTokens
 	}
 	c.engine.own.InFlight--
 	c.engine.own.Streams -= c.load.Streams
 	switch o {
 	case Answered:
 		c.engine.failures.note(now, false)
-	case Failed, Turned:
-		c.engine.failures.note(now, true) // An engine that turns requests away is avoided for a while, too.
+	case Failed, Rejected:
+		c.engine.failures.note(now, true) // An engine that rejects requests is avoided for a while as well.
 	}
 }
 
-// Loads returns this node's own work at each engine that has some.
+// Loads returns this node's own load at each engine where it has any.
 func (p *Placement) Loads() map[string]Load {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -183,7 +184,7 @@
 	return out
 }
 
-// TakeUses returns the parts that this node gave to engines since the last call.
+// TakeUses returns the parts that this node sent to engines since the last call.
 func (p *Placement) TakeUses() []Use {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -192,29 +193,29 @@
 	return out
 }
 
-// Peer records what a peer told: its work at each engine, in place of what it
-// told before, and the parts it gave to engines since. known is the newest version of the
-// engines' entries that it had then: what it told of an engine that has started again later
-// is of the former incarnation.
-func (p *Placement) Peer(now time.Time, peer string, known int64, loads map[string]Load, uses []Use) {
+// UpdatePeer records a peer's report: its load at each engine, which replaces its previous
+// report, and the parts it sent to engines since. known is the newest version of the engine
+// entries that the peer had; what it reports of an engine that restarted after that version
+// concerns the previous incarnation and is ignored.
+func (p *Placement) UpdatePeer(now time.Time, peer string, known int64, loads map[string]Load, uses []Use) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, id := range p.told[peer] {
+	for _, id := range p.peerEngines[peer] {
 		if e := p.engines[id]; e != nil {
 			e.setPeer(now, peer, Load{})
 		}
 	}
-	told := p.told[peer][:0]
+	reported := p.peerEngines[peer][:0]
 	for id, l := range loads {
-		if e := p.engines[id]; e != nil && known >= e.Since {
+		if e := p.engines[id]; e != nil && known >= e.SinceVersion {
 			e.setPeer(now, peer, l)
-			told = append(told, id)
+			reported = append(reported, id)
 		}
 	}
-	p.told[peer] = told
+	p.peerEngines[peer] = reported
 	for _, u := range uses {
-		if e := p.engines[u.Engine]; e != nil && known >= e.Since {
-			p.cache.use(now, u.Engine, u.Part)
+		if e := p.engines[u.Engine]; e != nil && known >= e.SinceVersion {
+			p.cache.recordUse(now, u.Engine, u.Part)
 		}
 	}
 }
--- a/internal/placement/export_test.go
+++ b/internal/placement/export_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Engine returns an engine by its id.
+// Engine returns an engine by its ID.
 func (p *Placement) Engine(id string) (Engine, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -16,7 +16,6 @@
 	return e.Engine, true
 }
 
-// Engines returns all engines.
 func (p *Placement) Engines() []Engine {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -27,34 +26,34 @@
 	return out
 }
 
-// PeersAt returns how many peers are known to have work at an engine.
+// PeersAt returns how many peers have reported load at an engine.
 func (p *Placement) PeersAt(id string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.engines[id].peers)
 }
 
-// LeastCost returns the cost of the cheapest engine, with all engines weighed.
-func (p *Placement) LeastCost(now time.Time, r Request) float64 {
+// MinCost returns the cost of the cheapest engine, found by evaluating all engines.
+func (p *Placement) MinCost(now time.Time, r Request) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	known := p.pool(r.Pool)
-	known.learnUsual(now)
-	known.survey(now, p.unheard(now), p.heldBack)
-	r.tight = known.tight(r)
+	known.refreshMedians(now)
+	known.refreshOccupancy(now, p.unseenNodes(now), p.throttled)
+	r.gapSensitive = known.gapSensitive(r)
 	least := math.Inf(1)
 	for rank, e := range new(ranking).order(known.engines, r.Prompt.Session()) {
 		if !r.Avoid[e.ID] {
-			least = min(least, p.weigh(now, known, e, r, max(0, e.order-known.gather), rank).Cost)
+			least = min(least, p.evaluate(now, known, e, r, max(0, e.poolIndex-known.streamEngines), rank).Cost)
 		}
 	}
 	return least
 }
 
-// MaxParts is how many prompt parts are remembered at most.
+// MaxParts is the maximum number of remembered prompt parts.
 const MaxParts = maxParts
 
-// Parts returns how many prompt parts are remembered.
+// Parts returns the number of remembered prompt parts.
 func (p *Placement) Parts() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/placement/held_test.go
+++ b/internal/placement/held_test.go
@@ -8,23 +8,23 @@
 	"github.com/croftturn/croftturn/internal/placement"
 )
 
-// TestEnginesThatAreHeldBackAddNoPlaces holds that engines that have named a limit or asked for rest don't count among what a
-// pool can take: neither as engines that read, nor by their places.
-func TestEnginesThatAreHeldBackAddNoPlaces(t *testing.T) {
+// TestThrottledEnginesAddNoCapacity checks that engines with a request limit or in backoff do
+// not count towards a pool's capacity, neither as engines nor with their slots.
+func TestThrottledEnginesAddNoCapacity(t *testing.T) {
 	const engines, slots = 6, 10
 	for _, test := range []struct {
-		name                 string
-		limited, resting     int
-		busy                 int // busy is how many requests each other engine has.
-		free                 int
-		scarce, lastOfPlaces bool
+		name             string
+		limited, resting int
+		busy             int // requests at each other engine
+		free             int
+		scarce, reserved bool
 	}{
 		{"none", 0, 0, 2, 6, false, false},
 		{"two limited", 2, 0, 7, 4, true, false},
 		{"two resting", 0, 2, 8, 4, true, true},
 		{"all but one", 3, 2, 2, 1, false, false},
 	} {
-		o := opening{}
+		o := permitTimes{}
 		p := placement.New("h", placement.WithLimits(o))
 		now := start
 		loads := map[string]placement.Load{}
@@ -35,14 +35,14 @@
 			case i < test.limited:
 				o[id] = now.Add(time.Minute)
 			case i < test.limited+test.resting:
-				p.Rest(now, id, time.Minute)
+				p.BackOff(now, id, time.Minute)
 			default:
 				loads[id] = placement.Load{InFlight: test.busy}
 			}
 		}
-		p.Peer(now, "peer", 0, loads, nil)
+		p.UpdatePeer(now, "peer", 0, loads, nil)
 		c, ok := p.Choose(now, placement.Request{Pool: "p"})
-		if !ok || c.Engines != engines || c.Free != test.free || c.Scarce != test.scarce || c.Last != test.lastOfPlaces {
+		if !ok || c.Engines != engines || c.Usable != test.free || c.SlotsScarce != test.scarce || c.SlotsReserved != test.reserved {
 			t.Errorf("%s: %+v", test.name, c)
 		}
 	}
--- a/internal/placement/pool.go
+++ b/internal/placement/pool.go
@@ -6,66 +6,67 @@
 )
 
 const (
-	// usualLife is how long the medians over a pool's engines are used before they are
-	// worked out again: learning takes some requests, which are rarer.
-	usualLife = 50 * time.Millisecond
-
-	// readShare is the weight of the newest request in the shares of what engines read; about
-	// the last 200 count, some seconds of a node's requests.
-	readShare = 0.005
-
-	// unheardWeight is for how many streams each one counts that unheard nodes may have begun: nodes that do not see each
-	// other's work choose their engines by chance, and some engines get many more than the mean. Of 48 nodes that
-	// start together with two streams each, 28 streams stood at one of 112 engines of 12 places without it.
-	unheardWeight = 2
-
-	// readPrior is how many tokens of other requests are taken for granted, so that the first
-	// streams of all do not spread over all engines: what one engine reads in a second.
-	readPrior = 50000.0
+	// mediansTTL is how long the medians over a pool's engines are reused: they change only with
+	// new samples, which are rarer.
+	mediansTTL = 50 * time.Millisecond
+
+	// prefillSmoothing is the weight of the newest request in the prefill totals; about the last
+	// 200 count, which is some seconds of a node's requests.
+	prefillSmoothing = 0.005
+
+	// unseenNodeWeight is how many streams are assumed at an unseen node for each stream of this
+	// one. Nodes that do not see each other's load choose their engines by chance, and some
+	// engines get many more than the mean. Of 48 nodes that started together with two streams
+	// each, 28 streams ended up at one of 112 engines with 12 slots without this factor.
+	unseenNodeWeight = 2
+
+	// prefillPrior is the assumed prefill of other requests in tokens, so that the very first
+	// streams do not spread over all engines: what one engine processes in a second.
+	prefillPrior = 50000.0
 )
 
-// pool is what is known of a pool's engines together.
+// pool is the state of a pool's engines.
 type pool struct {
-	engines []*engine // engines that take new work, in the order in which streams gather on them
-	gather  int       // gather is on how many engines, from the first, streams gather that are kept apart
-	pauses  pauses    // pauses are of streams on the other engines
-
-	// tightest is the shortest pause that callers of streams bear which engines make late
-	// while they read long prompts; 0 if there are no such streams.
-	tightest time.Duration
-
-	// read is how many tokens this node's newest requests gave engines to read, newer ones
-	// weighing more, and readTight the part of streams that are kept apart.
-	read, readTight float64
-
-	coldLimit float64 // coldLimit is how many requests a cold engine bears in a second; 0 for any number.
-	blind     bool    // blind says that nodes were not heard which may have begun work.
-	taken     float64 // taken is the share of the pool's places that is taken, as far as is known.
-	free      int     // free is how many engines are not held back by a limit or by rest.
-	usualAt   time.Time
-	usualRead float64 // usualRead is the median rate, in tokens a millisecond.
-	usualPace float64 // usualPace is the median pace, at least 1.
+	engines       []*engine // engines that take new work, in the order in which streams fill them
+	streamEngines int       // number of engines, from the first, reserved for separated streams
+	gaps          gapStats  // gaps of streams on the other engines
+
+	// minStreamGap is the shortest gap limit of callers whose streams are delayed by long
+	// prompts; 0 if there are none.
+	minStreamGap time.Duration
+
+	// totalPrefill is this node's recent prompt tokens for the pool's engines with exponential
+	// decay, and streamPrefill the part that belongs to separated streams.
+	totalPrefill, streamPrefill float64
+
+	coldLimit         float64 // requests a second that a cold engine may get; 0 for any number
+	partialView       bool    // whether some nodes' load is still unknown
+	occupancy         float64 // known share of the pool's slots in use
+	usable            int     // number of engines neither limited nor in backoff
+	mediansAt         time.Time
+	medianPrefillRate float64 // median rate, in tokens per millisecond
+	medianPace        float64 // median pace, at least 1
 }
 
-// learnUsual works out the medians over the engines, unless that was done lately.
-func (p *pool) learnUsual(now time.Time) {
-	if age := now.Sub(p.usualAt); age >= 0 && age < usualLife && p.usualRead > 0 {
+// refreshMedians recomputes the medians over the engines unless they are recent.
+func (p *pool) refreshMedians(now time.Time) {
+	if age := now.Sub(p.mediansAt); age >= 0 && age < mediansTTL && p.medianPrefillRate > 0 {
 		return
 	}
-	p.usualAt = now
+	p.mediansAt = now
 	rates := make([]float64, 0, len(p.engines))
 	paces := make([]float64, 0, len(p.engines))
 	for _, e := range p.engines {
-		if e.reading.tokens >= readLeast {
-			rates = append(rates, e.reading.tokens/e.reading.ms)
+		if e.prefill.tokens >= minSampleTokens {
+			rates = append(rates, e.prefill.tokens/e.prefill.ms)
 		}
 		paces = append(paces, max(1, e.pace.ratio))
 	}
-	p.usualPace = median(paces, 1)
-	p.usualRead = median(rates, p.usual())
+	p.medianPace = median(paces, 1)
+	p.medianPrefillRate = median(rates, p.prefillRate())
 }
 
-// median returns the lower median, or a value that stands in for none.
+// median returns the lower median, or none if there are no values.
 func median(values []float64, none float64) float64 {
 	if len(values) == 0 {
 		return none
@@ -74,62 +75,63 @@
 	return values[(len(values)-1)/2]
 }
 
-// usual returns the usual rate of the pool's engines, in tokens a millisecond.
-func (p *pool) usual() float64 {
-	if p.usualRead == 0 {
-		return firstRead
+// prefillRate returns the median prefill rate of the pool's engines, in tokens per millisecond.
+func (p *pool) prefillRate() float64 {
+	if p.medianPrefillRate == 0 {
+		return defaultPrefillRate
 	}
-	return p.usualRead
+	return p.medianPrefillRate
 }
 
-// noteTight takes the pause that the caller of a stream bears which is kept apart.
-func (p *pool) noteTight(gap time.Duration) {
-	if p.tightest == 0 || gap < p.tightest {
-		p.tightest = gap
+// noteStreamGap records the gap limit of a separated stream's caller.
+func (p *pool) noteStreamGap(gap time.Duration) {
+	if p.minStreamGap == 0 || gap < p.minStreamGap {
+		p.minStreamGap = gap
 	}
 }
 
-// survey works out which share of the pool's places is taken, and on how many of its
-// engines streams gather: enough for those that run and one more, and for the prompts that
-// they bring. They are spread over these, so that nodes which do not see each other's last
-// requests do not all choose one. Nodes that have not been heard are taken to have as many as this one, and to
-// add to them when it does. The places of engines that are held back don't count.
-func (p *pool) survey(now time.Time, unheard int, heldBack func(now time.Time, e *engine) bool) {
-	streams, own, requests, places, most := 0, 1, 0, 0, streamsEach
-	p.free = 0
+// refreshOccupancy computes the share of the pool's slots in use and the number of engines
+// reserved for separated streams: enough for the running ones and one more, and for the prompts
+// that they bring. Streams are spread over these, so that nodes which do not see each other's
+// latest requests do not all choose one engine. Unseen nodes are assumed to have as many streams
+// as this one, and to add some when it does. The slots of throttled engines do not count.
+func (p *pool) refreshOccupancy(now time.Time, unseen int, throttled func(now time.Time, e *engine) bool) {
+	streams, own, requests, slots, maxStreams := 0, 1, 0, 0, maxStreamsPerEngine
+	p.usable = 0
 	for _, e := range p.engines {
 		load := e.load(now)
 		streams += load.Streams
 		own += e.own.Streams
-		if heldBack(now, e) {
+		if throttled(now, e) {
 			continue
 		}
-		p.free++
+		p.usable++
 		if e.Slots > 0 {
 			requests += load.InFlight
-			places += e.Slots
-			most = min(most, max(1, int(streamsShare*float64(e.Slots))))
+			slots += e.Slots
+			maxStreams = min(maxStreams, max(1, int(maxStreamSlotShare*float64(e.Slots))))
 		}
 	}
-	p.taken = float64(requests) / float64(max(1, places))
-	streams += unheardWeight * unheard * own
-	p.blind = unheard > 0
-	p.gather = max(1+streams/most, p.fairGather())
+	p.occupancy = float64(requests) / float64(max(1, slots))
+	streams += unseenNodeWeight * unseen * own
+	p.partialView = unseen > 0
+	p.streamEngines = max(1+streams/maxStreams, p.fairStreamEngines())
 }
 
-// noteRead takes a request with the tokens that an engine has to read for it.
-func (p *pool) noteRead(tokens int, tight bool) {
-	p.read = p.read*(1-readShare) + float64(tokens)
-	p.readTight *= 1 - readShare
+// notePrefill records the prompt tokens that an engine has to process for a request.
+func (p *pool) notePrefill(tokens int, tight bool) {
+	p.totalPrefill = p.totalPrefill*(1-prefillSmoothing) + float64(tokens)
+	p.streamPrefill *= 1 - prefillSmoothing
 	if tight {
-		p.readTight += float64(tokens)
+		p.streamPrefill += float64(tokens)
 	}
 }
 
-// fairGather returns on how many engines streams gather so that these read no more than
-// the others, since streams pause while others' prompts are read. With 204 engines, 800
-// streams a second and 1,000 long prompts they gathered by their number on 21 engines on the
-// mean; the streams that bear pauses of 400 ms earned 0.781 of their worth then, and 0.860 so.
-func (p *pool) fairGather() int {
-	return int(p.readTight / (p.read + readPrior) * float64(len(p.engines)))
+// fairStreamEngines returns how many engines separated streams need so that these process no
+// more prompt tokens than the others, since streams pause while other prompts are processed.
+// With 204 engines, 800 streams a second and 1,000 long prompts, streams used 21 engines on
+// average when only their number counted, and streams with a gap limit of 400 ms reached 0.781
+// of their maximum score; with this rule they reached 0.860.
+func (p *pool) fairStreamEngines() int {
+	return int(p.streamPrefill / (p.totalPrefill + prefillPrior) * float64(len(p.engines)))
 }
--- a/lab/soak/planted_test.go
+++ b/lab/soak/planted_test.go
@@ -25,7 +25,7 @@
 	{"a stream is ended by a failure", " got ", "engines misbehave", "internal/dispatch/relay.go", "if x.answerBegun && !success {", "if x.answerBegun && !success && x.sent > 9 {"},
 	{"a request that may have run is called not run", "though its caller got", "", "internal/dispatch/walk.go", "x.refuse(Refusal{Reason: x.unlessTimedOut(now, EngineFailed)})", "x.refuse(Refusal{Reason: NoEngine})"},
 	{"a proof never grows old", "after its key was taken away", "key taken away unseen", "internal/freshness/freshness.go", "return p.proven && now.Sub(p.provenAt) <= p.maxAge", "return p.proven"},
-	{"an engine that leaves gets new work", "after it said that it leaves", "", "internal/discovery/discovery.go", "e.Draining, e.Since = current.draining, current.firstVersion", "e.Draining, e.Since = false, current.firstVersion"},
+	{"an engine that leaves gets new work", "after it said that it leaves", "", "internal/discovery/discovery.go", "e.Draining, e.SinceVersion = current.draining, current.firstVersion", "e.Draining, e.SinceVersion = false, current.firstVersion"},
 	{"what an answer says of leaving is not read", "that it leaves", "engine leaves, its entry ready", "platform/egress.go", `answer.Header.Get(headerLeaving) == "1"`, `answer.Header.Get(headerLeaving) == "never"`},
 	{"each node keeps to a limit by itself", "had named a limit", "engine names a limit", "internal/limit/permits.go", "case node.Self:", "case node.Self || !req.Forwarded:"},
 	{"a rest is forgotten", "of rest", "engine asks for rest", "internal/placement/rest.go", "return r.until", "return time.Time{}"},
