--- a/lab/losses/losses.go
+++ b/lab/losses/losses.go
@@ -1,5 +1,5 @@
-// Package losses tells from the log lines of nodes what callers did not get: by route and by
-// second, how many requests were refused, broken off or late, and why.
+// Package losses summarizes from node logs, by route and by second, how many requests were
+// refused, aborted or late, and why.
 package losses
 
 import (
@@ -16,58 +16,59 @@
 )
 
 const (
-	// OnTime is the cause of no loss: the answer came in time.
+	// OnTime means no loss: the answer came in time.
 	OnTime = "on_time"
 
-	// LateFirst is an answer whose first piece, or which itself, came after its route's target.
+	// LateFirst is an answer whose first piece came after the route's target, or the whole answer
+	// on a route without streaming.
 	LateFirst = "late_first"
 
 	// LatePause is a stream with a longer pause than its route allows.
 	LatePause = "late_pause"
 
-	// EngineStatus is a failure that the engine answered with.
+	// EngineStatus is an error status from the engine.
 	EngineStatus = "engine_status"
 
-	// endedMessage marks the line that a node writes at the end of each request.
+	// endedMessage is the message of the line that a node logs at the end of each request.
 	endedMessage = "request ended"
 
-	// longestLine bounds a log line, in bytes.
-	longestLine = 1 << 20
+	// maxLineLength bounds a log line, in bytes.
+	maxLineLength = 1 << 20
 )
 
 type (
-	// Ending is how one request ended, as its node logged it. Times are in milliseconds.
-	Ending struct {
-		Time       time.Time `json:"time"`
-		Message    string    `json:"msg"`
-		Route      string    `json:"route"`
-		Outcome    string    `json:"outcome"`
-		Status     int       `json:"status"`
-		FirstMs    int       `json:"first_ms"`
-		TotalMs    int       `json:"total_ms"`
-		GapMs      int       `json:"gap_ms"`
-		TargetMs   int       `json:"target_ms"`
-		LongestGap int       `json:"longest_gap_ms"` // LongestGap is the longest pause that the route allows; 0 if any.
+	// Result is the result of one request as logged by its node. Times are in milliseconds.
+	Result struct {
+		Time     time.Time `json:"time"`
+		Message  string    `json:"msg"`
+		Route    string    `json:"route"`
+		Outcome  string    `json:"outcome"`
+		Status   int       `json:"status"`
+		FirstMs  int       `json:"first_ms"`
+		TotalMs  int       `json:"total_ms"`
+		GapMs    int       `json:"gap_ms"`
+		TargetMs int       `json:"target_ms"`
+		MaxGapMs int       `json:"longest_gap_ms"` // MaxGapMs is the longest pause that the route allows; 0 for no bound.
 	}
 
-	// group counts endings by cause.
-	group map[string]int
+	// causeCounts counts results by cause.
+	causeCounts map[string]int
 )
 
-// Read reads the endings among log lines. What stands before a line's JSON, such as the name
-// of its node, is passed over, and so are other lines.
-func Read(r io.Reader) ([]Ending, error) {
-	var out []Ending
+// Read reads the results from log lines. It skips other lines and any prefix before a line's
+// JSON, such as a node name.
+func Read(r io.Reader) ([]Result, error) {
+	var out []Result
 	lines := bufio.NewScanner(r)
-	lines.Buffer(nil, longestLine)
+	lines.Buffer(nil, maxLineLength)
 	for lines.Scan() {
 		begin := bytes.IndexByte(lines.Bytes(), '{')
 		if begin < 0 {
 			continue
 		}
-		var e Ending
+		var e Result
 		if err := json.Unmarshal(lines.Bytes()[begin:], &e); err != nil || e.Message != endedMessage {
-			continue // It is no line of a request's end.
+			continue // Not the line of a finished request.
 		}
 		out = append(out, e)
 	}
@@ -77,10 +78,10 @@
 	return out, nil
 }
 
-// Cause returns why the caller did not get a whole answer in time, or OnTime.
-func (e *Ending) Cause() string {
+// Cause returns why the caller did not get a complete answer in time, or OnTime.
+func (e *Result) Cause() string {
 	first := e.FirstMs
-	if e.LongestGap == 0 {
+	if e.MaxGapMs == 0 {
 		first = e.TotalMs
 	}
 	switch {
@@ -90,17 +91,17 @@
 		return EngineStatus
 	case e.TargetMs > 0 && first > e.TargetMs:
 		return LateFirst
-	case e.LongestGap > 0 && e.GapMs > e.LongestGap:
+	case e.MaxGapMs > 0 && e.GapMs > e.MaxGapMs:
 		return LatePause
 	}
 	return OnTime
 }
 
-// Write writes a table by route and one by second.
-func Write(w io.Writer, endings []Ending) error {
-	byRoute, bySecond, causes := map[string]group{}, map[string]group{}, map[string]bool{}
-	for i := range endings {
-		e := &endings[i]
+// Write writes one table by route and one by second.
+func Write(w io.Writer, results []Result) error {
+	byRoute, bySecond, causes := map[string]causeCounts{}, map[string]causeCounts{}, map[string]bool{}
+	for i := range results {
+		e := &results[i]
 		cause := e.Cause()
 		causes[cause] = true
 		count(byRoute, e.Route, cause)
@@ -114,16 +115,16 @@
 	return writeTable(w, "second", columns, bySecond)
 }
 
-// count counts an ending in its group.
-func count(groups map[string]group, name, cause string) {
+// count adds a result to the counts of a group.
+func count(groups map[string]causeCounts, name, cause string) {
 	if groups[name] == nil {
-		groups[name] = group{}
+		groups[name] = causeCounts{}
 	}
 	groups[name][cause]++
 }
 
-// writeTable writes one line for each group, with its requests by cause.
-func writeTable(w io.Writer, title string, columns []string, groups map[string]group) error {
+// writeTable writes a table with one line per group and its counts by cause.
+func writeTable(w io.Writer, title string, columns []string, groups map[string]causeCounts) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(tw, "%s\tall\t", title)
 	for _, c := range columns {
