--- a/internal/sched/alone.go
+++ b/internal/sched/alone.go
@@ -8,21 +8,21 @@
 	"github.com/croftturn/croftturn/internal/wire"
 )
 
-// decideAlone uses the fallback until it gives a place or a broker may be reached
+// acquireFallback uses the fallback until it gives a place or a broker may be reached
 // again. The next broker is told of the place like of any other.
-func (b *Brokered) decideAlone(ctx context.Context, owner wire.Member, changed <-chan struct{}, req Request) (Grant, error) {
-	b.pulse.lose(owner)
+func (b *Brokered) acquireFallback(ctx context.Context, owner wire.Member, changed <-chan struct{}, req Request) (Grant, error) {
+	b.monitor.markUnreachable(owner)
 	alone, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	go b.awaitBroker(alone, cancel, owner, changed)
 	g, err := b.fallback.Acquire(alone, req)
-	if err != nil && context.Cause(alone) == errReturned {
-		return Grant{}, errReturned
+	if err != nil && context.Cause(alone) == errBrokerBack {
+		return Grant{}, errBrokerBack
 	}
 	if err != nil {
 		return Grant{}, fmt.Errorf("decide without a broker: %w", err)
 	}
-	b.note(req, g.Engine.Name)
+	b.recordHold(req, g.Engine.Name)
 	g.Why = "no broker reached; " + g.Why
 	return g, nil
 }
@@ -30,18 +30,18 @@
 // awaitBroker ends a wait at the fallback when the members change or the broker
 // answers again.
 func (b *Brokered) awaitBroker(ctx context.Context, cancel context.CancelCauseFunc, owner wire.Member, changed <-chan struct{}) {
-	tick := time.NewTicker(pulseEvery)
+	tick := time.NewTicker(pingInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-changed:
-			cancel(errReturned)
+			cancel(errBrokerBack)
 			return
 		case <-tick.C:
-			if !b.pulse.lost(owner) {
-				cancel(errReturned)
+			if !b.monitor.isUnresponsive(owner) {
+				cancel(errBrokerBack)
 				return
 			}
 		}
--- a/internal/sched/brokered.go
+++ b/internal/sched/brokered.go
@@ -26,12 +26,12 @@
 	// unreachableAfter is the same while the broker can't be connected to.
 	unreachableAfter = 150 * time.Millisecond
 
-	// reportEvery is how often a node tells brokers what it holds, so that a
+	// reportInterval is how often a node tells brokers what it holds, so that a
 	// release that was lost is made good.
-	reportEvery = 10 * time.Second
+	reportInterval = 10 * time.Second
 
-	// noticeTimeout bounds a release, a cancel or a report.
-	noticeTimeout = time.Second
+	// notifyTimeout bounds a release, a cancel or a report.
+	notifyTimeout = time.Second
 )
 
 var (
@@ -41,8 +41,8 @@
 	// errNoBroker says that no member can be the broker.
 	errNoBroker = errors.New("sched: no broker")
 
-	// errReturned says that a broker may be reached again.
-	errReturned = errors.New("sched: a broker may be reached again")
+	// errBrokerBack says that a broker may be reached again.
+	errBrokerBack = errors.New("sched: a broker may be reached again")
 )
 
 type (
@@ -69,17 +69,17 @@
 		peers    Peers
 		views    Views
 		fallback Fallback
-		pulse    *pulse
+		monitor  *brokerMonitor
 		log      *slog.Logger
 
-		mu     sync.Mutex
-		holds  map[string]heldPlace
-		told   map[string]string // told is the broker that a pool's holds were reported to.
-		closed sync.WaitGroup
+		mu         sync.Mutex
+		holds      map[string]heldSlot
+		reportedTo map[string]string // told is the broker that a pool's holds were reported to.
+		background sync.WaitGroup
 	}
 
-	// heldPlace is a place this node holds, and its pool.
-	heldPlace struct {
+	// heldSlot is a place this node holds, and its pool.
+	heldSlot struct {
 		wire.Hold
 		pool string
 	}
@@ -88,8 +88,8 @@
 // NewBrokered returns a scheduler that asks brokers.
 func NewBrokered(members broker.Members, local *broker.Service, peers Peers, views Views, fallback Fallback, log *slog.Logger) *Brokered {
 	return &Brokered{
-		members: members, local: local, peers: peers, views: views, fallback: fallback, pulse: newPulse(peers), log: log,
-		holds: map[string]heldPlace{}, told: map[string]string{},
+		members: members, local: local, peers: peers, views: views, fallback: fallback, monitor: newBrokerMonitor(peers), log: log,
+		holds: map[string]heldSlot{}, reportedTo: map[string]string{},
 	}
 }
 
@@ -105,11 +105,11 @@
 		if ok {
 			grant, err = b.ask(ctx, owner, changed, req)
 		}
-		if err == nil && !comesAgain(grant.Refusal) {
-			return b.taken(req, grant)
+		if err == nil && !mustAskAgain(grant.Refusal) {
+			return b.acceptReply(req, grant)
 		}
 		if err == nil && grant.Refusal == broker.ReasonMoved {
-			b.tellAnew(req.Pool)
+			b.forgetReport(req.Pool)
 		}
 		now, patience := clock.Now(), unreachableAfter
 		if err == nil {
@@ -118,11 +118,11 @@
 		if failing.IsZero() || errors.Is(err, errMoved) {
 			failing = now
 		}
-		if !errors.Is(err, errDeaf) && now.Sub(failing) <= patience {
+		if !errors.Is(err, errUnresponsive) && now.Sub(failing) <= patience {
 			pause.For(ctx, retryPause)
 			continue
 		}
-		if g, err := b.decideAlone(ctx, owner, changed, req); !errors.Is(err, errReturned) {
+		if g, err := b.acquireFallback(ctx, owner, changed, req); !errors.Is(err, errBrokerBack) {
 			return g, err
 		}
 		failing = time.Time{}
@@ -130,18 +130,18 @@
 	return Grant{}, fmt.Errorf("wait for a place: %w", ctx.Err())
 }
 
-// comesAgain reports whether a refusal means that the request is to ask again.
-func comesAgain(refusal string) bool {
+// mustAskAgain reports whether a refusal means that the request is to ask again.
+func mustAskAgain(refusal string) bool {
 	return refusal == broker.ReasonMoved || refusal == broker.ReasonDuplicate
 }
 
-// taken turns a broker's answer into a grant or a refusal.
-func (b *Brokered) taken(req Request, grant *wire.Grant) (Grant, error) {
+// acceptReply turns a broker's answer into a grant or a refusal.
+func (b *Brokered) acceptReply(req Request, grant *wire.Grant) (Grant, error) {
 	if grant.Refusal != "" {
 		return Grant{}, &Refusal{Reason: grant.Refusal, RetryAfter: time.Duration(grant.RetryAfterMs) * time.Millisecond, Why: grant.Why}
 	}
 	b.fallback.Adopt(req, grant.Engine)
-	return b.hold(req, grant)
+	return b.acceptGrant(req, grant)
 }
 
 // ask asks one broker. It gives up when the broker of the pool changes, or does
@@ -152,10 +152,10 @@
 	var broken <-chan struct{}
 	if owner.Name != b.members.Self().Name {
 		var err error
-		if broken, err = b.pulse.begin(owner); err != nil {
+		if broken, err = b.monitor.beginAsk(owner); err != nil {
 			return nil, err
 		}
-		defer b.pulse.end(owner)
+		defer b.monitor.endAsk(owner)
 	}
 	done := make(chan struct{})
 	lost := make(chan error, 1)
@@ -175,11 +175,11 @@
 	err := b.call(ctx, owner, params, grant)
 	close(done)
 	if reason := <-lost; reason != nil {
-		b.cancelAt(owner, req)
+		b.cancelAsk(owner, req)
 		return nil, reason
 	}
 	if err != nil {
-		b.cancelAt(owner, req)
+		b.cancelAsk(owner, req)
 		return nil, fmt.Errorf("ask broker %s: %w", owner.Name, err)
 	}
 	return grant, nil
@@ -193,7 +193,7 @@
 		case <-done:
 			return nil
 		case <-broken:
-			return errDeaf
+			return errUnresponsive
 		case <-changed:
 		}
 		changed = b.members.Changed()
@@ -217,22 +217,22 @@
 	return nil
 }
 
-// cancelAt tells a broker that an answer which may come is no longer wanted.
-func (b *Brokered) cancelAt(owner wire.Member, req Request) {
+// cancelAsk tells a broker that an answer which may come is no longer wanted.
+func (b *Brokered) cancelAsk(owner wire.Member, req Request) {
 	params := &wire.Acquire{Pool: req.Pool, Request: req.ID}
-	b.notice(owner, broker.MethodCancel, params, func(ctx context.Context) { b.local.Cancel(ctx, params) })
+	b.notify(owner, broker.MethodCancel, params, func(ctx context.Context) { b.local.Cancel(ctx, params) })
 }
 
-// notice sends a message to a broker without holding the caller up.
-func (b *Brokered) notice(owner wire.Member, method string, params any, local func(ctx context.Context)) {
+// notify sends a message to a broker without holding the caller up.
+func (b *Brokered) notify(owner wire.Member, method string, params any, local func(ctx context.Context)) {
 	if owner.Name == b.members.Self().Name {
 		local(context.Background())
 		return
 	}
-	b.closed.Add(1)
+	b.background.Add(1)
 	go func() {
-		defer b.closed.Done()
-		ctx, cancel := context.WithTimeout(context.Background(), noticeTimeout)
+		defer b.background.Done()
+		ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 		defer cancel()
 		if err := b.peers.Notify(ctx, owner.PeerAddress, method, params); err != nil {
 			b.log.Debug("notice not sent", "method", method, "peer", owner.Name, "error", err.Error())
@@ -240,22 +240,22 @@
 	}()
 }
 
-// hold notes a place that was granted.
-func (b *Brokered) hold(req Request, grant *wire.Grant) (Grant, error) {
+// acceptGrant notes a place that was granted.
+func (b *Brokered) acceptGrant(req Request, grant *wire.Grant) (Grant, error) {
 	e := b.views.View().Engine(grant.Engine)
-	b.note(req, grant.Engine)
+	b.recordHold(req, grant.Engine)
 	if e == nil {
 		b.release(req, grant.Engine, Result{Status: broker.StatusCancelled})
-		return Grant{}, &Refusal{Reason: ReasonNoEngine, RetryAfter: noEngineWait, Why: "engine " + grant.Engine + " is not in the configuration here"}
+		return Grant{}, &Refusal{Reason: ReasonNoEngine, RetryAfter: noEngineRetryAfter, Why: "engine " + grant.Engine + " is not in the configuration here"}
 	}
 	return Grant{Engine: e, Why: grant.Why}, nil
 }
 
-// note remembers a place, for reports to brokers.
-func (b *Brokered) note(req Request, engine string) {
+// recordHold remembers a place, for reports to brokers.
+func (b *Brokered) recordHold(req Request, engine string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.holds[req.ID] = heldPlace{
+	b.holds[req.ID] = heldSlot{
 		Hold: wire.Hold{Request: req.ID, Engine: engine, Class: req.Class, Team: req.Team, Tokens: req.PromptTokens},
 		pool: req.Pool,
 	}
@@ -276,12 +276,12 @@
 	if !ok {
 		return
 	}
-	params := release(req, engine, res)
-	b.notice(owner, broker.MethodRelease, &params, func(ctx context.Context) { b.local.Release(ctx, &params) })
+	params := releaseMessage(req, engine, res)
+	b.notify(owner, broker.MethodRelease, &params, func(ctx context.Context) { b.local.Release(ctx, &params) })
 }
 
-// release returns the message that gives a place back.
-func release(req Request, engine string, res Result) wire.Release {
+// releaseMessage returns the message that gives a place back.
+func releaseMessage(req Request, engine string, res Result) wire.Release {
 	return wire.Release{
 		Pool: req.Pool, Request: req.ID, Engine: engine, Status: res.Status, OutputTokens: res.OutputTokens,
 		DurationMs: int(res.Duration.Milliseconds()), FirstTokenMs: int(res.FirstToken.Milliseconds()),
--- a/internal/sched/direct.go
+++ b/internal/sched/direct.go
@@ -10,8 +10,8 @@
 	"github.com/croftturn/croftturn/internal/engine"
 )
 
-// noEngineWait is when to come back where no engine of a pool takes work.
-const noEngineWait = time.Second
+// noEngineRetryAfter is when to come back where no engine of a pool takes work.
+const noEngineRetryAfter = time.Second
 
 type (
 	// Loads tells what engines reported last.
@@ -54,7 +54,7 @@
 func (d *Direct) Acquire(_ context.Context, req Request) (Grant, error) {
 	open := candidates(d.views.View(), req)
 	if len(open) == 0 {
-		return Grant{}, &Refusal{Reason: ReasonNoEngine, RetryAfter: noEngineWait, Why: "no engine of the pool takes work"}
+		return Grant{}, &Refusal{Reason: ReasonNoEngine, RetryAfter: noEngineRetryAfter, Why: "no engine of the pool takes work"}
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -112,7 +112,7 @@
 func (r *RoundRobin) Acquire(_ context.Context, req Request) (Grant, error) {
 	open := candidates(r.views.View(), req)
 	if len(open) == 0 {
-		return Grant{}, &Refusal{Reason: ReasonNoEngine, RetryAfter: noEngineWait, Why: "no engine of the pool takes work"}
+		return Grant{}, &Refusal{Reason: ReasonNoEngine, RetryAfter: noEngineRetryAfter, Why: "no engine of the pool takes work"}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/sched/report.go
+++ b/internal/sched/report.go
@@ -11,13 +11,13 @@
 // Run tells each new broker what this node holds, and every broker now and
 // then, until the context ends.
 func (b *Brokered) Run(ctx context.Context) {
-	defer b.closed.Wait()
-	b.closed.Add(1)
+	defer b.background.Wait()
+	b.background.Add(1)
 	go func() {
-		defer b.closed.Done()
-		b.pulse.run(ctx)
+		defer b.background.Done()
+		b.monitor.run(ctx)
 	}()
-	tick := time.NewTicker(reportEvery)
+	tick := time.NewTicker(reportInterval)
 	defer tick.Stop()
 	for {
 		changed := b.members.Changed()
@@ -48,35 +48,35 @@
 		}
 		id := processID(owner)
 		b.mu.Lock()
-		known := b.told[pool] == id
+		known := b.reportedTo[pool] == id
 		r := &wire.Report{Node: b.members.Self().Name, Pool: pool, Holds: b.holdsOf(pool)}
 		b.mu.Unlock()
 		if known && !all {
 			continue
 		}
-		b.closed.Add(1)
+		b.background.Add(1)
 		go func() {
-			defer b.closed.Done()
-			if b.tell(ctx, owner, r) {
+			defer b.background.Done()
+			if b.sendReport(ctx, owner, r) {
 				b.mu.Lock()
-				b.told[pool] = id
+				b.reportedTo[pool] = id
 				b.mu.Unlock()
 			}
 		}()
 	}
 }
 
-// tellAnew has a pool's broker told again what this node holds: the same process may have
+// forgetReport has a pool's broker told again what this node holds: the same process may have
 // begun anew, knowing nothing, after it stood still.
-func (b *Brokered) tellAnew(pool string) {
+func (b *Brokered) forgetReport(pool string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	delete(b.told, pool)
+	delete(b.reportedTo, pool)
 }
 
-// tell sends a report and returns whether the broker took it.
-func (b *Brokered) tell(ctx context.Context, owner wire.Member, r *wire.Report) bool {
-	ctx, cancel := context.WithTimeout(ctx, noticeTimeout)
+// sendReport sends a report and returns whether the broker took it.
+func (b *Brokered) sendReport(ctx context.Context, owner wire.Member, r *wire.Report) bool {
+	ctx, cancel := context.WithTimeout(ctx, notifyTimeout)
 	defer cancel()
 	if owner.Name == b.members.Self().Name {
 		taken, _ := b.local.Report(ctx, r)
--- a/internal/sched/shared.go
+++ b/internal/sched/shared.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// sharedSweepEvery is how often waiting requests are looked over.
-	sharedSweepEvery = 20 * time.Millisecond
+	// sharedSweepInterval is how often waiting requests are looked over.
+	sharedSweepInterval = 20 * time.Millisecond
 
 	// sharedQueueFactor is how many times a pool's queue limit may wait at a node
 	// alone. A node can't know what waits at the others, so that shedding here
@@ -96,11 +96,11 @@
 func (s *Shared) Adopt(req Request, engine string) {
 	now := clock.Now()
 	hold := wire.Hold{Request: req.ID, Engine: engine, Class: req.Class, Team: req.Team, Tokens: req.PromptTokens}
-	s.existing(now, req.Pool).Adopt(now, s.members.Self().Name, hold)
+	s.existingPool(now, req.Pool).Adopt(now, s.members.Self().Name, hold)
 }
 
-// existing returns the node's own queue for a pool as it was last configured.
-func (s *Shared) existing(now time.Time, name string) *broker.Pool {
+// existingPool returns the node's own queue for a pool as it was last configured.
+func (s *Shared) existingPool(now time.Time, name string) *broker.Pool {
 	s.mu.Lock()
 	p := s.pools[name]
 	s.mu.Unlock()
@@ -135,7 +135,7 @@
 	e := s.views.View().Engine(g.Engine)
 	if e == nil {
 		p.Cancel(clock.Now(), req.ID)
-		return Grant{}, &Refusal{Reason: ReasonNoEngine, RetryAfter: noEngineWait, Why: "engine " + g.Engine + " is gone"}
+		return Grant{}, &Refusal{Reason: ReasonNoEngine, RetryAfter: noEngineRetryAfter, Why: "engine " + g.Engine + " is gone"}
 	}
 	return Grant{Engine: e, Why: "this node's share: " + g.Why}, nil
 }
@@ -143,18 +143,18 @@
 // Waiting returns how many requests wait in a pool at this node alone.
 func (s *Shared) Waiting(pool string) int {
 	now := clock.Now()
-	return len(s.existing(now, pool).Waiting(now))
+	return len(s.existingPool(now, pool).Waiting(now))
 }
 
 // Release gives a place back.
 func (s *Shared) Release(req Request, g Grant, res Result) {
 	now := clock.Now()
-	s.existing(now, req.Pool).Release(now, release(req, g.Engine.Name, res))
+	s.existingPool(now, req.Pool).Release(now, releaseMessage(req, g.Engine.Name, res))
 }
 
 // Run refuses what has waited too long, until the context ends.
 func (s *Shared) Run(ctx context.Context) {
-	tick := time.NewTicker(sharedSweepEvery)
+	tick := time.NewTicker(sharedSweepInterval)
 	defer tick.Stop()
 	for {
 		select {
