--- a/internal/sched/alone.go
+++ b/internal/sched/alone.go
@@ -8,8 +8,8 @@
 	"github.com/croftturn/croftturn/internal/wire"
 )
 
-// acquireFallback uses the fallback until it gives a place or a broker may be reached
-// again. The next broker is told of the place like of any other.
+// acquireFallback uses the fallback until it grants a slot or a broker may be reachable
+// again. The slot is reported to the next broker like any other.
 func (b *Brokered) acquireFallback(ctx context.Context, owner wire.Member, changed <-chan struct{}, req Request) (Grant, error) {
 	b.monitor.markUnreachable(owner)
 	alone, cancel := context.WithCancelCause(ctx)
@@ -27,7 +27,7 @@
 	return g, nil
 }
 
-// awaitBroker ends a wait at the fallback when the members change or the broker
+// awaitBroker cancels a wait at the fallback when the members change or the broker
 // answers again.
 func (b *Brokered) awaitBroker(ctx context.Context, cancel context.CancelCauseFunc, owner wire.Member, changed <-chan struct{}) {
 	tick := time.NewTicker(pingInterval)
--- a/internal/sched/brokered.go
+++ b/internal/sched/brokered.go
@@ -16,32 +16,32 @@
 )
 
 const (
-	// retryPause is how long a node waits before it asks for a broker again.
+	// retryPause is the delay before a node asks a broker again.
 	retryPause = 50 * time.Millisecond
 
-	// fallbackAfter is how long a node asks, while no node takes itself for the
-	// broker, before it decides on its own.
+	// fallbackAfter is how long a node keeps asking, while no node considers itself
+	// the broker, before it uses the fallback.
 	fallbackAfter = 3 * time.Second
 
-	// unreachableAfter is the same while the broker can't be connected to.
+	// unreachableAfter is the same while connections to the broker fail.
 	unreachableAfter = 150 * time.Millisecond
 
-	// reportInterval is how often a node tells brokers what it holds, so that a
-	// release that was lost is made good.
+	// reportInterval is how often a node reports its holds to all brokers, which
+	// makes up for lost releases.
 	reportInterval = 10 * time.Second
 
-	// notifyTimeout bounds a release, a cancel or a report.
+	// notifyTimeout bounds the call for a release, a cancel or a report.
 	notifyTimeout = time.Second
 )
 
 var (
-	// errMoved says that the broker of a pool changed while a request waited there.
+	// errMoved means that the broker of a pool changed while a request waited there.
 	errMoved = errors.New("sched: the broker moved")
 
-	// errNoBroker says that no member can be the broker.
+	// errNoBroker means that no member can be the broker.
 	errNoBroker = errors.New("sched: no broker")
 
-	// errBrokerBack says that a broker may be reached again.
+	// errBrokerBack means that a broker may be reachable again.
 	errBrokerBack = errors.New("sched: a broker may be reached again")
 )
 
@@ -54,15 +54,15 @@
 		Drop(address string)
 	}
 
-	// Fallback decides while no broker can be reached. It is told of the places
-	// that brokers granted.
+	// Fallback schedules while no broker can be reached. Adopt tells it of the
+	// slots that brokers granted.
 	Fallback interface {
 		Scheduler
 		Adopt(req Request, engine string)
 	}
 
-	// Brokered asks the pool's broker, wherever it is, for a place. While no
-	// broker can be reached it falls back to another scheduler.
+	// Brokered asks the pool's broker, on whichever node, for a slot. While no
+	// broker can be reached it uses the fallback.
 	Brokered struct {
 		members  broker.Members
 		local    *broker.Service
@@ -74,11 +74,11 @@
 
 		mu         sync.Mutex
 		holds      map[string]heldSlot
-		reportedTo map[string]string // told is the broker that a pool's holds were reported to.
+		reportedTo map[string]string // reportedTo is the broker process that has a pool's holds, by pool.
 		background sync.WaitGroup
 	}
 
-	// heldSlot is a place this node holds, and its pool.
+	// heldSlot is a slot that this node holds, and its pool.
 	heldSlot struct {
 		wire.Hold
 		pool string
@@ -93,10 +93,10 @@
 	}
 }
 
-// Acquire waits for a place at the pool's broker, and follows the broker when
-// it moves. The time waited so far goes with the request.
+// Acquire waits for a slot from the pool's broker, and asks the new broker when
+// it changes. The request carries the time waited so far.
 func (b *Brokered) Acquire(ctx context.Context, req Request) (Grant, error) {
-	var failing time.Time
+	var failingSince time.Time
 	for ctx.Err() == nil {
 		changed := b.members.Changed()
 		owner, ok := b.members.Owner(broker.Key(req.Pool))
@@ -115,27 +115,27 @@
 		if err == nil {
 			patience = fallbackAfter
 		}
-		if failing.IsZero() || errors.Is(err, errMoved) {
-			failing = now
+		if failingSince.IsZero() || errors.Is(err, errMoved) {
+			failingSince = now
 		}
-		if !errors.Is(err, errUnresponsive) && now.Sub(failing) <= patience {
+		if !errors.Is(err, errUnresponsive) && now.Sub(failingSince) <= patience {
 			pause.For(ctx, retryPause)
 			continue
 		}
 		if g, err := b.acquireFallback(ctx, owner, changed, req); !errors.Is(err, errBrokerBack) {
 			return g, err
 		}
-		failing = time.Time{}
+		failingSince = time.Time{}
 	}
 	return Grant{}, fmt.Errorf("wait for a place: %w", ctx.Err())
 }
 
-// mustAskAgain reports whether a refusal means that the request is to ask again.
+// mustAskAgain reports whether the request has to ask again after a refusal.
 func mustAskAgain(refusal string) bool {
 	return refusal == broker.ReasonMoved || refusal == broker.ReasonDuplicate
 }
 
-// acceptReply turns a broker's answer into a grant or a refusal.
+// acceptReply converts a broker's answer to a grant or a refusal.
 func (b *Brokered) acceptReply(req Request, grant *wire.Grant) (Grant, error) {
 	if grant.Refusal != "" {
 		return Grant{}, &Refusal{Reason: grant.Refusal, RetryAfter: time.Duration(grant.RetryAfterMs) * time.Millisecond, Why: grant.Why}
@@ -144,15 +144,15 @@
 	return b.acceptGrant(req, grant)
 }
 
-// ask asks one broker. It gives up when the broker of the pool changes, or does
-// not answer any more.
+// ask asks one broker. It gives up when the pool's broker changes or becomes
+// unresponsive.
 func (b *Brokered) ask(ctx context.Context, owner wire.Member, changed <-chan struct{}, req Request) (*wire.Grant, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var broken <-chan struct{}
+	var unresponsive <-chan struct{}
 	if owner.Name != b.members.Self().Name {
 		var err error
-		if broken, err = b.monitor.beginAsk(owner); err != nil {
+		if unresponsive, err = b.monitor.beginAsk(owner); err != nil {
 			return nil, err
 		}
 		defer b.monitor.endAsk(owner)
@@ -161,7 +161,7 @@
 	lost := make(chan error, 1)
 	go func() {
 		defer close(lost)
-		if err := b.watch(done, changed, broken, owner, req.Pool); err != nil {
+		if err := b.watch(done, changed, unresponsive, owner, req.Pool); err != nil {
 			lost <- err
 			cancel()
 		}
@@ -185,14 +185,14 @@
 	return grant, nil
 }
 
-// watch waits until an ask is done, and returns an error where the broker of the
-// pool changes or turns deaf before.
-func (b *Brokered) watch(done, changed, broken <-chan struct{}, owner wire.Member, pool string) error {
+// watch waits until an ask is done, and returns an error if the pool's broker
+// changes or becomes unresponsive before that.
+func (b *Brokered) watch(done, changed, unresponsive <-chan struct{}, owner wire.Member, pool string) error {
 	for {
 		select {
 		case <-done:
 			return nil
-		case <-broken:
+		case <-unresponsive:
 			return errUnresponsive
 		case <-changed:
 		}
@@ -204,7 +204,7 @@
 	}
 }
 
-// call reaches the broker, which may be this node itself.
+// call asks the broker, which may be this node itself.
 func (b *Brokered) call(ctx context.Context, owner wire.Member, params *wire.Acquire, grant *wire.Grant) error {
 	if owner.Name != b.members.Self().Name {
 		return b.peers.Call(ctx, owner.PeerAddress, broker.MethodAcquire, params, grant)
@@ -217,13 +217,13 @@
 	return nil
 }
 
-// cancelAsk tells a broker that an answer which may come is no longer wanted.
+// cancelAsk tells a broker that the answer to a request is no longer wanted.
 func (b *Brokered) cancelAsk(owner wire.Member, req Request) {
 	params := &wire.Acquire{Pool: req.Pool, Request: req.ID}
 	b.notify(owner, broker.MethodCancel, params, func(ctx context.Context) { b.local.Cancel(ctx, params) })
 }
 
-// notify sends a message to a broker without holding the caller up.
+// notify sends a message to a broker without blocking the caller.
 func (b *Brokered) notify(owner wire.Member, method string, params any, local func(ctx context.Context)) {
 	if owner.Name == b.members.Self().Name {
 		local(context.Background())
@@ -235,12 +235,12 @@
 		ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 		defer cancel()
 		if err := b.peers.Notify(ctx, owner.PeerAddress, method, params); err != nil {
-			b.log.Debug("notice not sent", "method", method, "peer", owner.Name, "error", err.Error())
+			b.log.Debug("message to broker not sent", "method", method, "peer", owner.Name, "error", err.Error())
 		}
 	}()
 }
 
-// acceptGrant notes a place that was granted.
+// acceptGrant records a granted slot, or releases it if its engine is not in the configuration.
 func (b *Brokered) acceptGrant(req Request, grant *wire.Grant) (Grant, error) {
 	e := b.views.View().Engine(grant.Engine)
 	b.recordHold(req, grant.Engine)
@@ -251,7 +251,7 @@
 	return Grant{Engine: e, Why: grant.Why}, nil
 }
 
-// recordHold remembers a place, for reports to brokers.
+// recordHold records a held slot for the reports to brokers.
 func (b *Brokered) recordHold(req Request, engine string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -261,13 +261,13 @@
 	}
 }
 
-// Release gives a place back to whoever is the broker now.
+// Release gives a slot back to the current broker.
 func (b *Brokered) Release(req Request, g Grant, res Result) {
 	b.fallback.Release(req, g, res)
 	b.release(req, g.Engine.Name, res)
 }
 
-// release tells the broker of an end.
+// release removes a hold and tells the current broker.
 func (b *Brokered) release(req Request, engine string, res Result) {
 	b.mu.Lock()
 	delete(b.holds, req.ID)
@@ -280,7 +280,7 @@
 	b.notify(owner, broker.MethodRelease, &params, func(ctx context.Context) { b.local.Release(ctx, &params) })
 }
 
-// releaseMessage returns the message that gives a place back.
+// releaseMessage returns the message that gives a slot back.
 func releaseMessage(req Request, engine string, res Result) wire.Release {
 	return wire.Release{
 		Pool: req.Pool, Request: req.ID, Engine: engine, Status: res.Status, OutputTokens: res.OutputTokens,
--- a/internal/sched/brokered_test.go
+++ b/internal/sched/brokered_test.go
@@ -14,15 +14,15 @@
 	"github.com/croftturn/croftturn/internal/wire"
 )
 
-// beganAnew stands for a broker that answers the first request that it has begun anew, and
-// grants the others a place; it says when it is told what a node holds.
-type beganAnew struct {
-	mu    sync.Mutex
-	asked int
-	told  chan int // told gets how many requests had asked before.
+// restartedBroker is a fake broker that refuses the first request as moved, as after a stall,
+// and grants the others a slot. It signals each report of a node's holds.
+type restartedBroker struct {
+	mu       sync.Mutex
+	asked    int
+	reported chan int // reported receives, for each report, the number of requests that asked before it.
 }
 
-func (b *beganAnew) Call(_ context.Context, _, method string, _, result any) error {
+func (b *restartedBroker) Call(_ context.Context, _, method string, _, result any) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	switch method {
@@ -34,19 +34,19 @@
 		}
 	case broker.MethodReport:
 		*result.(*bool) = true
-		b.told <- b.asked
+		b.reported <- b.asked
 	}
 	return nil
 }
 
-func (b *beganAnew) Notify(context.Context, string, string, any) error { return nil }
+func (b *restartedBroker) Notify(context.Context, string, string, any) error { return nil }
 
-func (b *beganAnew) Drop(string) {}
+func (b *restartedBroker) Drop(string) {}
 
-// TestABrokerThatBeganAnewIsToldOfPlaces holds that a broker which has begun anew in the same
-// process is told soon what each node holds, not with the next report after ten seconds: till
-// then it would grant places that are taken.
-func TestABrokerThatBeganAnewIsToldOfPlaces(t *testing.T) {
+// TestBrokerWithLostStateGetsReport checks that a broker that has lost its state in the same
+// process soon gets a report of each node's holds, not only with the next report after ten
+// seconds: until then it would grant slots that are taken.
+func TestBrokerWithLostStateGetsReport(t *testing.T) {
 	store := config.NewStore()
 	c := config.Empty()
 	c.Version = 1
@@ -63,22 +63,22 @@
 		}
 		table.Merge(time.Now(), []wire.Member{{Name: name, Incarnation: 1, State: wire.MemberStateA}})
 	}
-	peers := &beganAnew{told: make(chan int, 8)}
+	peers := &restartedBroker{reported: make(chan int, 8)}
 	b := sched.NewBrokered(table, nil, peers, store, sched.NewShared(table, store), slog.New(slog.DiscardHandler))
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	running.Go(func() { b.Run(ctx) })
 	defer running.Wait()
 	defer cancel()
-	if asked := <-peers.told; asked != 0 {
-		t.Fatalf("first told after %d requests", asked)
+	if asked := <-peers.reported; asked != 0 {
+		t.Fatalf("the first report came after %d requests, want before any", asked)
 	}
 	if _, err := b.Acquire(ctx, sched.Request{ID: "a", Pool: "llm", Class: "explain", Team: "x", Arrived: time.Now()}); err != nil {
 		t.Fatal(err)
 	}
 	select {
-	case <-peers.told:
+	case <-peers.reported:
 	case <-time.After(5 * time.Second):
-		t.Error("a broker that began anew is not told what the node holds")
+		t.Error("a broker that has lost its state gets no report of the node's holds")
 	}
 }
--- a/internal/sched/direct.go
+++ b/internal/sched/direct.go
@@ -10,23 +10,23 @@
 	"github.com/croftturn/croftturn/internal/engine"
 )
 
-// noEngineRetryAfter is when to come back where no engine of a pool takes work.
+// noEngineRetryAfter is the retry time if no engine of a pool accepts requests.
 const noEngineRetryAfter = time.Second
 
 type (
-	// Loads tells what engines reported last.
+	// Loads gives access to the engines' last load reports.
 	Loads interface {
 		Load(engine string) engine.Load
 	}
 
-	// Views gives the configuration in force.
+	// Views gives access to the current configuration.
 	Views interface {
 		View() *config.View
 	}
 
-	// Direct decides at each node alone: of two engines drawn at random it takes
-	// the one with less reported load and fewer requests of this node. It never
-	// waits; an engine that is full refuses.
+	// Direct decides at each node alone by the power of two choices: of two random
+	// engines it takes the one with less load, from the engine's report and this
+	// node's requests. It never waits; a full engine refuses.
 	Direct struct {
 		views Views
 		loads Loads
@@ -36,7 +36,7 @@
 		inFlight map[string]int
 	}
 
-	// RoundRobin takes the engines of a pool in turn, at each node alone.
+	// RoundRobin takes a pool's engines in rotation, at each node alone.
 	RoundRobin struct {
 		views Views
 
@@ -45,12 +45,12 @@
 	}
 )
 
-// NewDirect returns a Direct scheduler with a seed for its draws.
+// NewDirect returns a Direct scheduler with a seed for its random choices.
 func NewDirect(views Views, loads Loads, seed uint64) *Direct {
 	return &Direct{views: views, loads: loads, rand: rand.New(rand.NewPCG(seed, seed)), inFlight: map[string]int{}}
 }
 
-// Acquire draws two engines and takes the one with less load.
+// Acquire chooses two random engines and takes the one with less load.
 func (d *Direct) Acquire(_ context.Context, req Request) (Grant, error) {
 	open := candidates(d.views.View(), req)
 	if len(open) == 0 {
@@ -76,7 +76,7 @@
 	return float64(max(l.Running+l.Waiting, d.inFlight[e.Name])) / float64(e.Slots)
 }
 
-// Release counts a request of this node as ended.
+// Release removes a request from this node's count for the engine.
 func (d *Direct) Release(_ Request, g Grant, _ Result) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -85,8 +85,8 @@
 	}
 }
 
-// candidates returns a pool's active engines, without the excluded one where
-// there are others.
+// candidates returns a pool's engines that are not draining, without the excluded
+// one if there are others.
 func candidates(view *config.View, req Request) []*config.Engine {
 	var out []*config.Engine
 	var excluded *config.Engine
@@ -121,5 +121,5 @@
 	return Grant{Engine: open[i%len(open)], Why: "next in turn"}, nil
 }
 
-// Release has nothing to count.
+// Release does nothing.
 func (r *RoundRobin) Release(Request, Grant, Result) {}
--- a/internal/sched/pulse.go
+++ b/internal/sched/pulse.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	// pingInterval is how often a broker at which requests wait is called.
+	// pingInterval is how often a broker at which requests wait is pinged.
 	pingInterval = 250 * time.Millisecond
 
-	// forgetAfterLoss is how long a deaf broker at which nothing waits is called: by
-	// then the membership knows that it is dead, or that it is another process.
+	// forgetAfterLoss is how long an unresponsive broker at which nothing waits is
+	// pinged: by then the membership knows that it is dead or was restarted.
 	forgetAfterLoss = 30 * time.Second
 
-	// pingTimeout is how long it has to answer.
+	// pingTimeout bounds one ping.
 	pingTimeout = 700 * time.Millisecond
 )
 
-// errUnresponsive says that a broker takes calls and does not answer, as over a
-// half-open connection that the membership can't see.
+// errUnresponsive means that a broker does not answer, for example over a
+// half-open connection that the membership can't detect.
 var errUnresponsive = errors.New("sched: the broker does not answer")
 
 type (
-	// brokerMonitor watches the brokers at which requests of this node wait.
+	// brokerMonitor pings the brokers at which requests of this node wait.
 	brokerMonitor struct {
 		peers Peers
 
@@ -37,82 +37,82 @@
 		conns map[string]*brokerConn
 	}
 
-	// brokerConn is what is known of the way to one process.
+	// brokerConn is the state of the connection to one broker process.
 	brokerConn struct {
 		owner        wire.Member
 		pendingAsks  int
 		unresponsive bool
-		lostAt       time.Time     // lostAt is when it turned deaf.
-		lost         chan struct{} // broken is closed when the process turns deaf.
+		lostAt       time.Time     // lostAt is when it became unresponsive.
+		lost         chan struct{} // lost is closed when the broker becomes unresponsive.
 	}
 )
 
-// newBrokerMonitor returns a pulse that watches nobody.
+// newBrokerMonitor returns a monitor without brokers.
 func newBrokerMonitor(peers Peers) *brokerMonitor {
 	return &brokerMonitor{peers: peers, conns: map[string]*brokerConn{}}
 }
 
-// beginAsk notes that a request asks a broker, and returns a channel that is closed
-// when the broker turns deaf. It fails where it is deaf already.
-func (p *brokerMonitor) beginAsk(owner wire.Member) (<-chan struct{}, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	l := p.conn(owner)
-	if l.unresponsive {
+// beginAsk records that a request asks a broker, and returns a channel that is closed
+// when the broker becomes unresponsive. It fails if the broker is unresponsive already.
+func (m *brokerMonitor) beginAsk(owner wire.Member) (<-chan struct{}, error) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	c := m.conn(owner)
+	if c.unresponsive {
 		return nil, errUnresponsive
 	}
-	l.pendingAsks++
-	return l.lost, nil
+	c.pendingAsks++
+	return c.lost, nil
 }
 
-// conn returns what is known of the way to a process; the caller holds the lock.
-func (p *brokerMonitor) conn(owner wire.Member) *brokerConn {
+// conn returns the state of a broker process, creating it if needed; the caller holds the lock.
+func (m *brokerMonitor) conn(owner wire.Member) *brokerConn {
 	id := processID(owner)
-	l := p.conns[id]
-	if l == nil {
-		l = &brokerConn{owner: owner, lost: make(chan struct{})}
-		p.conns[id] = l
+	c := m.conns[id]
+	if c == nil {
+		c = &brokerConn{owner: owner, lost: make(chan struct{})}
+		m.conns[id] = c
 	}
-	return l
+	return c
 }
 
-// markUnresponsive notes that a process that answered does not any more.
-func (l *brokerConn) markUnresponsive(now time.Time) {
-	l.unresponsive, l.lostAt = true, now
-	close(l.lost)
+// markUnresponsive records that a broker has stopped answering.
+func (c *brokerConn) markUnresponsive(now time.Time) {
+	c.unresponsive, c.lostAt = true, now
+	close(c.lost)
 }
 
-// endAsk notes that a request asks no more.
-func (p *brokerMonitor) endAsk(owner wire.Member) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.conns[processID(owner)].pendingAsks--
+// endAsk records that a request no longer asks a broker.
+func (m *brokerMonitor) endAsk(owner wire.Member) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.conns[processID(owner)].pendingAsks--
 }
 
-// markUnreachable notes that a broker could not be reached, so that it is called until it
+// markUnreachable records that a broker could not be reached, so that it is pinged until it
 // answers.
-func (p *brokerMonitor) markUnreachable(owner wire.Member) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	l := p.conn(owner)
-	if !l.unresponsive {
-		l.markUnresponsive(clock.Now())
+func (m *brokerMonitor) markUnreachable(owner wire.Member) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	c := m.conn(owner)
+	if !c.unresponsive {
+		c.markUnresponsive(clock.Now())
 	}
 }
 
-// isUnresponsive reports whether a broker was isUnresponsive and has not answered since.
-func (p *brokerMonitor) isUnresponsive(owner wire.Member) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	l := p.conns[processID(owner)]
-	return l != nil && l.unresponsive
+// isUnresponsive reports whether a broker was lost and has not answered since.
+func (m *brokerMonitor) isUnresponsive(owner wire.Member) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	c := m.conns[processID(owner)]
+	return c != nil && c.unresponsive
 }
 
-// processID names one incarnation of a node.
+// processID returns an id of one incarnation of a node.
 func processID(m wire.Member) string { return fmt.Sprint(m.Name, "/", m.Incarnation) }
 
-// run calls the watched brokers until the context ends.
-func (p *brokerMonitor) run(ctx context.Context) {
+// run pings the brokers until the context ends.
+func (m *brokerMonitor) run(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	tick := time.NewTicker(pingInterval)
@@ -123,51 +123,51 @@
 			return
 		case <-tick.C:
 		}
-		for _, l := range p.connsToPing(clock.Now()) {
+		for _, c := range m.connsToPing(clock.Now()) {
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				p.recordPing(l, p.ping(ctx, l.owner))
+				m.recordPing(c, m.ping(ctx, c.owner))
 			}()
 		}
 	}
 }
 
-// connsToPing returns the lines to call: those in use, and those that are deaf.
-func (p *brokerMonitor) connsToPing(now time.Time) []*brokerConn {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+// connsToPing returns the connections in use and the unresponsive ones, and forgets the others.
+func (m *brokerMonitor) connsToPing(now time.Time) []*brokerConn {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	var out []*brokerConn
-	for id, l := range p.conns {
-		if l.pendingAsks > 0 || (l.unresponsive && now.Sub(l.lostAt) < forgetAfterLoss) {
-			out = append(out, l)
+	for id, c := range m.conns {
+		if c.pendingAsks > 0 || (c.unresponsive && now.Sub(c.lostAt) < forgetAfterLoss) {
+			out = append(out, c)
 			continue
 		}
-		delete(p.conns, id)
+		delete(m.conns, id)
 	}
 	return out
 }
 
-// ping calls a broker and reports whether it ping.
-func (p *brokerMonitor) ping(ctx context.Context, owner wire.Member) bool {
+// ping calls a broker and reports whether it answers.
+func (m *brokerMonitor) ping(ctx context.Context, owner wire.Member) bool {
 	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
-	return p.peers.Call(ctx, owner.PeerAddress, broker.MethodPing, struct{}{}, nil) == nil
+	return m.peers.Call(ctx, owner.PeerAddress, broker.MethodPing, struct{}{}, nil) == nil
 }
 
-// recordPing notes whether a broker answers. A connection that has turned deaf is
+// recordPing records whether a broker answered. An unresponsive connection is
 // dropped, so that the next call opens another.
-func (p *brokerMonitor) recordPing(l *brokerConn, answers bool) {
-	p.mu.Lock()
-	turned := l.unresponsive == answers
+func (m *brokerMonitor) recordPing(c *brokerConn, answers bool) {
+	m.mu.Lock()
+	turned := c.unresponsive == answers
 	if turned && answers {
-		l.unresponsive, l.lost = false, make(chan struct{})
+		c.unresponsive, c.lost = false, make(chan struct{})
 	}
 	if turned && !answers {
-		l.markUnresponsive(clock.Now())
+		c.markUnresponsive(clock.Now())
 	}
-	p.mu.Unlock()
+	m.mu.Unlock()
 	if !answers {
-		p.peers.Drop(l.owner.PeerAddress)
+		m.peers.Drop(c.owner.PeerAddress)
 	}
 }
--- a/internal/sched/report.go
+++ b/internal/sched/report.go
@@ -8,8 +8,8 @@
 	"github.com/croftturn/croftturn/internal/wire"
 )
 
-// Run tells each new broker what this node holds, and every broker now and
-// then, until the context ends.
+// Run reports this node's holds to each new broker, and to every broker each
+// reportInterval, until the context ends.
 func (b *Brokered) Run(ctx context.Context) {
 	defer b.background.Wait()
 	b.background.Add(1)
@@ -33,8 +33,8 @@
 	}
 }
 
-// report tells brokers what this node holds. Those that know already are told
-// again only if all is set.
+// report reports this node's holds to the brokers. Brokers that have a report
+// get another only if all is set.
 func (b *Brokered) report(ctx context.Context, all bool) {
 	view := b.views.View()
 	if view == nil {
@@ -66,15 +66,15 @@
 	}
 }
 
-// forgetReport has a pool's broker told again what this node holds: the same process may have
-// begun anew, knowing nothing, after it stood still.
+// forgetReport makes the next report include a pool's broker: the same process may have
+// lost its state after a stall.
 func (b *Brokered) forgetReport(pool string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	delete(b.reportedTo, pool)
 }
 
-// sendReport sends a report and returns whether the broker took it.
+// sendReport sends a report and returns whether the broker accepted it.
 func (b *Brokered) sendReport(ctx context.Context, owner wire.Member, r *wire.Report) bool {
 	ctx, cancel := context.WithTimeout(ctx, notifyTimeout)
 	defer cancel()
@@ -84,12 +84,12 @@
 	}
 	taken := false
 	if err := b.peers.Call(ctx, owner.PeerAddress, broker.MethodReport, r, &taken); err != nil {
-		b.log.Debug("report not taken", "peer", owner.Name, "error", err.Error())
+		b.log.Debug("report to broker failed", "peer", owner.Name, "error", err.Error())
 	}
 	return taken
 }
 
-// holdsOf returns what this node holds in a pool; the caller holds the lock.
+// holdsOf returns this node's holds in a pool; the caller holds the lock.
 func (b *Brokered) holdsOf(pool string) []wire.Hold {
 	var out []wire.Hold
 	for _, h := range b.holds {
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -1,6 +1,6 @@
-// Package sched gets a place on an engine for a request. Its schedulers stand
-// behind one interface, so that they can be compared: each node on its own
-// (Direct, RoundRobin), or the pool's broker for all nodes (Brokered).
+// Package sched assigns requests to slots on engines. Its schedulers share one
+// interface, so that they can be compared: they decide at each node alone
+// (Direct, RoundRobin, Shared) or at the pool's broker for all nodes (Brokered).
 package sched
 
 import (
@@ -12,41 +12,41 @@
 )
 
 type (
-	// Request is what a scheduler needs to know of a request.
+	// Request holds what a scheduler needs to know about a request.
 	Request struct {
 		ID           string
 		Pool         string
 		Class        string
 		Team         string
 		PromptTokens int    // PromptTokens is an estimate.
-		MaxTokens    int    // MaxTokens is the caller's bound; 0 for none.
-		Prefix       string // Prefix is a digest of the prompt's beginning.
+		MaxTokens    int    // MaxTokens is the caller's limit on the answer's length; 0 for none.
+		Prefix       string // Prefix is a digest of the start of the prompt.
 		Exclude      string // Exclude names an engine that failed the request.
 		Arrived      time.Time
 	}
 
-	// Grant is a place on an engine. Each is released once.
+	// Grant is a slot on an engine. Each must be released once.
 	Grant struct {
 		Engine *config.Engine
-		Why    string // Why tells how the decision came about.
+		Why    string // Why explains the decision.
 	}
 
-	// Result is what a request showed of its engine.
+	// Result is the outcome of a request on its engine.
 	Result struct {
-		Status       string // Status is one of the broker package's.
+		Status       string // Status is one of the broker package's statuses.
 		OutputTokens int
 		Duration     time.Duration
 		FirstToken   time.Duration
 	}
 
-	// Scheduler gets and gives back places. Acquire waits until there is one,
-	// and fails with a *Refusal where there will be none.
+	// Scheduler acquires and releases slots. Acquire waits for a slot, and fails
+	// with a *Refusal if the request gets none.
 	Scheduler interface {
 		Acquire(ctx context.Context, req Request) (Grant, error)
 		Release(req Request, g Grant, res Result)
 	}
 
-	// Refusal says why a request gets no place. It did not run.
+	// Refusal is the reason why a request gets no slot. The request did not run.
 	Refusal struct {
 		Reason     string
 		RetryAfter time.Duration
@@ -59,6 +59,6 @@
 
 // Reasons of this package, besides those of a broker.
 const (
-	ReasonNoEngine   = "no_engine"   // ReasonNoEngine: no engine of the pool can take work.
+	ReasonNoEngine   = "no_engine"   // ReasonNoEngine: no engine of the pool accepts requests.
 	ReasonEngineFull = "engine_full" // ReasonEngineFull: the engines that were tried are full.
 )
--- a/internal/sched/shared.go
+++ b/internal/sched/shared.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	// sharedSweepInterval is how often waiting requests are looked over.
+	// sharedSweepInterval is how often waiting requests are checked.
 	sharedSweepInterval = 20 * time.Millisecond
 
-	// sharedQueueFactor is how many times a pool's queue limit may wait at a node
-	// alone. A node can't know what waits at the others, so that shedding here
-	// could be for a lower tier there: it is left to the classes' longest wait,
-	// and this only bounds memory.
+	// sharedQueueFactor is the multiple of a pool's queue limit that may wait at one
+	// node. A node does not know what waits at the others, so it might shed a request
+	// while a lower tier waits elsewhere: only the classes' longest wait limits the
+	// queue, and this factor only bounds memory.
 	sharedQueueFactor = 50
 )
 
 // Shared decides at each node alone, on a fixed share of each engine's slots: the
-// shares of all live nodes add up to the slots. It orders what waits like a
-// broker, so that tiers hold at the node, and engines are not overrun while no
-// broker can be reached.
+// shares of all live nodes add up to the slots. It orders waiting requests like a
+// broker, so that tiers are respected within the node and engines are not
+// overloaded while no broker can be reached.
 type Shared struct {
 	members broker.Members
 	views   Views
@@ -36,12 +36,12 @@
 	pools map[string]*broker.Pool
 }
 
-// NewShared returns a scheduler on this node's shares.
+// NewShared returns a scheduler for this node's shares.
 func NewShared(members broker.Members, views Views) *Shared {
 	return &Shared{members: members, views: views, pools: map[string]*broker.Pool{}}
 }
 
-// Share returns how many of an engine's slots a node has, of so many nodes.
+// Share returns how many of an engine's slots belong to a node.
 func Share(node, engine string, slots int, nodes []string) int {
 	share := slots / len(nodes)
 	if slices.Contains(member.Top("share/"+engine, nodes, slots%len(nodes)), node) {
@@ -50,8 +50,8 @@
 	return share
 }
 
-// pool returns the node's own queue for a pool, brought up to the present
-// members and configuration.
+// pool returns the node's own queue for a pool, updated to the current members
+// and configuration.
 func (s *Shared) pool(now time.Time, name string) *broker.Pool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -64,7 +64,7 @@
 	return p
 }
 
-// configure gives a pool the node's shares of its engines.
+// configure applies the node's shares of the engines to a pool.
 func (s *Shared) configure(now time.Time, p *broker.Pool, name string) {
 	view := s.views.View()
 	pool := view.Pool(name)
@@ -77,14 +77,14 @@
 	for _, e := range broker.EnginesOf(view, name) {
 		e.Slots = Share(self, e.Name, e.Slots, nodes)
 		if e.Slots > 0 {
-			e.KVTokens = 0 // The room for tokens can't be shared by whole slots.
+			e.KVTokens = 0 // The KV cache capacity can't be divided by whole slots.
 			engines = append(engines, e)
 		}
 	}
 	p.Configure(now, broker.Options{QueueLimit: sharedQueueFactor * pool.QueueLimit}, broker.ClassesOf(view), engines)
 }
 
-// team looks up a team's weight; its limits are the broker's to count.
+// team looks up a team's weight; only the broker enforces its limits.
 func (s *Shared) team(name string) broker.Team {
 	if t := s.views.View().Team(name); t != nil {
 		return broker.Team{Weight: t.Weight}
@@ -92,7 +92,7 @@
 	return broker.Team{Weight: 1}
 }
 
-// Adopt counts a place that the broker granted against this node's shares.
+// Adopt counts a slot that the broker granted against this node's shares.
 func (s *Shared) Adopt(req Request, engine string) {
 	now := clock.Now()
 	hold := wire.Hold{Request: req.ID, Engine: engine, Class: req.Class, Team: req.Team, Tokens: req.PromptTokens}
@@ -110,7 +110,7 @@
 	return p
 }
 
-// Acquire waits for a place on this node's shares.
+// Acquire waits for a slot of this node's shares.
 func (s *Shared) Acquire(ctx context.Context, req Request) (Grant, error) {
 	now := clock.Now()
 	p := s.pool(now, req.Pool)
@@ -127,7 +127,7 @@
 	}
 }
 
-// granted turns the queue's answer into a grant or a refusal.
+// granted converts the queue's answer to a grant or a refusal.
 func (s *Shared) granted(p *broker.Pool, req Request, g wire.Grant) (Grant, error) {
 	if g.Refusal != "" {
 		return Grant{}, &Refusal{Reason: g.Refusal, RetryAfter: time.Duration(g.RetryAfterMs) * time.Millisecond, Why: g.Why}
@@ -140,19 +140,19 @@
 	return Grant{Engine: e, Why: "this node's share: " + g.Why}, nil
 }
 
-// Waiting returns how many requests wait in a pool at this node alone.
+// Waiting returns how many requests wait at this node for a pool.
 func (s *Shared) Waiting(pool string) int {
 	now := clock.Now()
 	return len(s.existingPool(now, pool).Waiting(now))
 }
 
-// Release gives a place back.
+// Release gives a slot back.
 func (s *Shared) Release(req Request, g Grant, res Result) {
 	now := clock.Now()
 	s.existingPool(now, req.Pool).Release(now, releaseMessage(req, g.Engine.Name, res))
 }
 
-// Run refuses what has waited too long, until the context ends.
+// Run sweeps the pools, which refuses requests that have waited too long, until the context ends.
 func (s *Shared) Run(ctx context.Context) {
 	tick := time.NewTicker(sharedSweepInterval)
 	defer tick.Stop()
--- a/internal/sched/shared_test.go
+++ b/internal/sched/shared_test.go
@@ -14,7 +14,7 @@
 	"github.com/croftturn/croftturn/internal/wire"
 )
 
-// TestSharesAddUpToTheSlots holds for few nodes and for more nodes than slots.
+// TestSharesAddUpToTheSlots covers few nodes and more nodes than slots.
 func TestSharesAddUpToTheSlots(t *testing.T) {
 	for _, count := range []int{1, 3, 7, 40} {
 		var nodes []string
@@ -39,8 +39,8 @@
 	}
 }
 
-// TestSharedKeepsToItsShare holds that a node alone uses its share and no more,
-// counts what brokers granted it, and serves the higher tier first.
+// TestSharedKeepsToItsShare checks that a node without a broker uses no more than
+// its share, counts the slots that brokers granted it, and serves the higher tier first.
 func TestSharedKeepsToItsShare(t *testing.T) {
 	store := config.NewStore()
 	c := config.Empty()
@@ -78,16 +78,16 @@
 	for waiting := 0; waiting < 2; waiting = s.Waiting("llm") {
 		select {
 		case a := <-answers:
-			t.Fatalf("%s got a place beyond the share of two: %v", a.class, a.err)
+			t.Fatalf("the request of class %s ended beyond the share of two slots: %v", a.class, a.err)
 		default:
 		}
 	}
 	s.Release(first, g, sched.Result{Status: broker.StatusOK})
 	if a := <-answers; a.class != "confirm" || a.err != nil {
-		t.Errorf("%s went first, %v", a.class, a.err)
+		t.Errorf("the request of class %s ended first with error %v, want confirm without error", a.class, a.err)
 	}
 	cancel()
 	if a := <-answers; !errors.Is(a.err, context.Canceled) {
-		t.Errorf("the other ended with %v", a.err)
+		t.Errorf("the other request ended with %v, want context.Canceled", a.err)
 	}
 }
