--- a/internal/edge/absence.go
+++ b/internal/edge/absence.go
@@ -23,7 +23,7 @@
 	}
 	e.proof.Forget(now)
 	e.dispatcher.Returned(now)
-	e.egress.ForgetAll()
+	e.egress.CloseAllIdle()
 	e.absences.Add(1)
 	select {
 	case e.absenceEnded <- away:
--- a/internal/edge/config.go
+++ b/internal/edge/config.go
@@ -14,8 +14,8 @@
 // them.
 func (e *Edge) applyConfig(now time.Time, rows []feed.Row) {
 	begin := clock.Now()
-	e.evacuations.Take(now, platform.Evacuations(rows))
-	table, err := platform.Config(rows)
+	e.evacuations.Take(now, platform.EvacuationChanges(rows))
+	table, err := platform.LatestConfig(rows)
 	if err != nil {
 		e.configsRefused.Add(1)
 		e.log.Error("configuration rejected; the previous one stays in force", "in_force", e.dispatcher.Version(), "error", err.Error())
--- a/internal/edge/duties.go
+++ b/internal/edge/duties.go
@@ -34,7 +34,7 @@
 	if s.DutiesAddress == "" || len(s.Duties) == 0 {
 		return nil
 	}
-	e.dutyClient = platform.NewDuties(s.DutiesAddress)
+	e.dutyClient = platform.NewDutyClient(s.DutiesAddress)
 	d := duty.New(now, duty.Settings{
 		Name: s.Instance, Process: fmt.Sprintf("%s/%x", s.Instance, clock.Wall(now).UnixNano()), PeerAddress: s.PeerAddress,
 		Apart: ms(s.LeaseMs), Window: ms(s.UsageWindowMs), Late: ms(s.UsageLateMs),
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -98,7 +98,7 @@
 	permits       *limit.Permits
 	evacuations   *evacuation.Evacuations
 	duties        *duty.Duties // duties is nil where the settings name none.
-	dutyClient    *platform.Duties
+	dutyClient    *platform.DutyClient
 	budget        *retry.Budget
 	gossip        *gossip.Gossip
 	dispatcher    *dispatch.Dispatcher
@@ -187,7 +187,7 @@
 	e.egress = platform.NewEgress()
 	e.traffic = &peer.Traffic{}
 	e.peerClient = peer.NewClient(e.traffic, peer.WithIdleTimeout(feed.PullSilence))
-	e.discovery = discovery.New(platform.Engine, engineSink{e.placement, e.egress, e.limits}, ms(s.EngineDrainMs), e.log)
+	e.discovery = discovery.New(platform.DecodeEngine, engineSink{e.placement, e.egress, e.limits}, ms(s.EngineDrainMs), e.log)
 	e.permits = limit.NewPermits(e.limits, e.peerClient, e.permitIssuer, e.gossip.ReachableShare, e.log)
 	e.dispatcher = dispatch.New(e.proof, e.placement, e.budget, e.egress, e.metrics, e.log, dispatch.WithProber(e.egress), dispatch.WithQuarantine(e.quarantine), dispatch.WithLeavers(e.discovery), dispatch.WithPermits(e.permits))
 	e.store = platform.NewStore(s.PlatformAddresses, platform.StoreTimeout)
@@ -209,9 +209,9 @@
 	control.Handle("GET /metrics", e.tele.Metrics)
 	control.HandleFunc("POST /admin/v1/statements", e.statements)
 	servers := []endpoint{
-		{s.CallerAddress, platform.NewIngress(e.dispatcher, platform.Limits{Read: ms(s.ReadTimeoutMs), Write: ms(s.WriteTimeoutMs)})},
-		{s.DirectoryAddress, platform.NewDirectory(e, e.log)},
-		{s.ReadyAddress, platform.NewReady(e)},
+		{s.CallerAddress, platform.NewIngress(e.dispatcher, platform.Timeouts{Read: ms(s.ReadTimeoutMs), Write: ms(s.WriteTimeoutMs)})},
+		{s.DirectoryAddress, platform.NewDirectoryHandler(e, e.log)},
+		{s.ReadyAddress, platform.NewReadinessHandler(e)},
 		{s.AdminAddress, control},
 	}
 	if s.ChatAddress != "" {
--- a/internal/edge/engines.go
+++ b/internal/edge/engines.go
@@ -17,7 +17,7 @@
 // former incarnation, and a request that may not be repeated would be lost on them.
 func (s engineSink) Set(e placement.Engine) {
 	if s.placement.Set(e) {
-		s.egress.Forget(e.Address)
+		s.egress.CloseIdle(e.Address)
 		s.limits.Forget(e.ID)
 	}
 }
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -36,7 +36,7 @@
 	m.crashed, errs[5] = meter.Int64Counter("croftturn.edge.engines_ended_under_requests")
 	errs[4] = e.tele.Observe(
 		telemetry.Observed{Name: "croftturn.edge.active", Help: "requests being served", Read: func() int64 { return int64(e.dispatcher.Active()) }},
-		telemetry.Observed{Name: "croftturn.edge.engine_connections_opened", Help: "connections opened to engines", Read: func() int64 { return e.egress.Opened() }},
+		telemetry.Observed{Name: "croftturn.edge.engine_connections_opened", Help: "connections opened to engines", Read: func() int64 { return e.egress.ConnectionsOpened() }},
 		telemetry.Observed{Name: "croftturn.edge.log_lines_dropped", Help: "log lines dropped", Read: func() int64 { return e.logWriter.Dropped() }},
 		telemetry.Observed{Name: "croftturn.edge.nodes", Help: "nodes alive", Read: func() int64 { return int64(e.gossip.AliveNodes()) }},
 		telemetry.Observed{Name: "croftturn.edge.config_age_ms", Help: "age of the proof that the configuration is the newest", Read: func() int64 { return e.proof.AgeMs(clock.Now()) }},
