--- a/lab/soak/planted_test.go
+++ b/lab/soak/planted_test.go
@@ -26,7 +26,7 @@
 	{"a request that may have run is called not run", "though its caller got", "", "internal/dispatch/walk.go", "w.refuse(Refusal{Reason: w.lateOr(now, Broken)})", "w.refuse(Refusal{Reason: NoEngine})"},
 	{"a proof never grows old", "after its key was taken away", "key taken away unseen", "internal/freshness/freshness.go", "return p.proven && now.Sub(p.at) <= p.maxAge", "return p.proven"},
 	{"an engine that leaves gets new work", "after it said that it leaves", "", "internal/discovery/discovery.go", "e.Draining, e.Since = present.draining, present.since", "e.Draining, e.Since = false, present.since"},
-	{"what an answer says of leaving is not read", "that it leaves", "engine leaves, its entry ready", "platform/egress.go", `answer.Header.Get(headerLeaving) == "1"`, `answer.Header.Get(headerLeaving) == "never"`},
+	{"what an answer says of leaving is not read", "that it leaves", "engine leaves, its entry ready", "platform/egress.go", `httpResp.Header.Get(headerLeaving) == "1"`, `httpResp.Header.Get(headerLeaving) == "never"`},
 	{"each node keeps to a limit by itself", "had named a limit", "engine names a limit", "internal/limit/permits.go", "case node.Self:", "case node.Self || !req.Forwarded:"},
 	{"a rest is forgotten", "of rest", "engine asks for rest", "internal/placement/rest.go", "return r.until", "return time.Time{}"},
 	{"a hall that is evacuated gets new requests", "was evacuated", "hall evacuated", "internal/placement/placement.go", "if !e.Draining && !p.evacuated[e.Hall] {", "if !e.Draining {"},
