--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -1,8 +1,8 @@
-// Package duty carries out what one node at a time does for all towards the platform: it reports usage and orders
-// engines. Each node sends its counts to the holder; a few stand ready to become it.
+// Package duty does the work that one node at a time does for all: it reports usage to the platform and orders engines.
+// Every node sends its counts to the lease holder; a few nodes are candidates to succeed it.
 //
-// The holder writes the lease's row and all that must outlive it in one transaction, so that a node which has lost the
-// lease can write nothing. What is reported is in the store before it is sent, and is the same whoever sends it.
+// The holder writes the lease's row together with all state that must outlive it in one transaction, so that a node that
+// has lost the lease can't write. Reports are in the store before they are sent, and are the same whichever node sends them.
 package duty
 
 import (
@@ -21,63 +21,64 @@
 )
 
 const (
-	// table holds the lease, the counts and the orders, in one part of it, so that one transaction writes them.
+	// table holds the lease, the counts and the orders in a single partition, so that one transaction can write them.
 	table = "croftturn-duties"
 	part  = "duties"
 
-	// The keys of rows; those of counts are the ledger's.
+	// Row keys; package usage defines those of the counts.
 	keyLease  = "lease"
 	keyOrders = "orders"
 
-	// MethodUsage is the peers' method that takes a node's counts.
+	// MethodUsage is the peer method that accepts a node's counts.
 	MethodUsage = "usage"
 
-	// reportEvery is how often a node sends its counts, and writeEvery how often the holder writes what is new. What a
-	// node counted in half of both, on the mean, is lost with all nodes: 0.35 s, 7 in 100 of a window of five seconds.
-	reportEvery = 250 * time.Millisecond
-	writeEvery  = 400 * time.Millisecond
+	// reportInterval is how often a node sends its counts, and writeInterval how often the holder writes changes. If all nodes
+	// are lost, the counts of half of both intervals are lost on average: 0.35 s, 7% of a window of five seconds.
+	reportInterval = 250 * time.Millisecond
+	writeInterval  = 400 * time.Millisecond
 
-	// renewShare of the lease's life is how often it is renewed where there is nothing to write: one renewal may fail.
-	renewShare = 0.35
+	// renewIntervalShare is the share of the lease's TTL after which it is renewed if there is nothing to write, so that one
+	// renewal may fail.
+	renewIntervalShare = 0.35
 
-	// lifeShare of the time in which two holders must not act in turn is the life of a lease: a new holder is there
-	// soon, and a renewal may take some tenths of a second, as where the store takes 60 times as long.
-	lifeShare = 0.66
+	// leaseTTLShare is the lease's TTL as a share of ReturnDelay. It is short enough for a new holder to take over soon, and long
+	// enough for a renewal to take some tenths of a second, as when the store takes 60 times as long as usual.
+	leaseTTLShare = 0.66
 
-	// margin is how long a take-over waits beyond the lease's life, for calls that are on their way.
-	margin = 300 * time.Millisecond
+	// takeoverMargin is how long a takeover waits beyond the lease's TTL, for calls that are in transit.
+	takeoverMargin = 300 * time.Millisecond
 
-	// holderLife is how long after a holder's last renewal the others begin to watch the lease, and candidateWait how
-	// much later each further candidate does. Renewals come each 0.7 s at the latest.
-	holderLife    = 1200 * time.Millisecond
-	candidateWait = 800 * time.Millisecond
+	// holderTimeout is how long after a holder's last renewal the candidates start to watch the lease, and candidateDelay how
+	// much later each further candidate does. Renewals come every 0.7 s at the latest.
+	holderTimeout  = 1200 * time.Millisecond
+	candidateDelay = 800 * time.Millisecond
 
-	// campaignPoll is how often a candidate looks whether it is its turn, and restPoll how often a node looks that is none,
-	// or that does not hold the duties: each wake-up of 390 nodes costs processor time.
+	// campaignPoll is how often a candidate checks whether it is its turn, and idlePoll how often a node that is no candidate or
+	// does not hold the lease checks its state. They are long since each wake-up on 390 nodes costs CPU time.
 	campaignPoll = 100 * time.Millisecond
-	restPoll     = 500 * time.Millisecond
+	idlePoll     = 500 * time.Millisecond
 
 	// reportTimeout bounds the call that sends a node's counts.
 	reportTimeout = time.Second
 
-	// callMost bounds a call to the platform.
-	callMost = 1500 * time.Millisecond
+	// maxCallTime bounds a call to the platform.
+	maxCallTime = 1500 * time.Millisecond
 
-	// giveUpAfter is for how long the platform's calls may fail at a holder before it leaves them to another.
-	giveUpAfter = 4 * time.Second
+	// releaseAfter is how long the holder's calls to the platform may fail before it releases the lease to another node.
+	releaseAfter = 4 * time.Second
 
-	// restAfter is how long such a holder does not try again.
-	restAfter = 8 * time.Second
+	// releaseCooldown is how long such a holder does not campaign again.
+	releaseCooldown = 8 * time.Second
 )
 
 var (
-	// ErrNone says that no engine of the kind can be had at present.
-	ErrNone = errors.New("duty: none can be had")
+	// ErrNoCapacity is returned if no engine of the kind is available at present.
+	ErrNoCapacity = errors.New("duty: no engine available")
 
-	// ErrRefused says that the platform will not take the call, however often it is made.
+	// ErrRefused is returned if the platform rejects the call permanently.
 	ErrRefused = errors.New("duty: the platform refuses the call")
 
-	// errNotHolder answers a node that takes this one for the holder.
+	// errNotHolder is returned to a node that mistakes this one for the holder.
 	errNotHolder = errors.New("this node does not hold the duties")
 )
 
@@ -88,12 +89,12 @@
 		Commit(ctx context.Context, tx feed.Tx) (version int64, err error)
 	}
 
-	// Platform takes the holder's calls.
+	// Platform handles the holder's calls.
 	Platform interface {
 		// Usage reports the counts of a window.
 		Usage(ctx context.Context, holder string, token int64, window int64, counts map[string]int) error
 
-		// Order asks for engines; the error is ErrNone where none can be had.
+		// Order orders engines; the error is ErrNoCapacity if none are available.
 		Order(ctx context.Context, holder string, token int64, o scaling.Order) error
 	}
 
@@ -104,13 +105,13 @@
 
 	// Node is the node that takes part.
 	Node interface {
-		// Rank returns how many nodes should become the holder before this one; ok is false where it should not.
+		// Rank returns how many nodes should become the holder before this one; ok is false if it is no candidate.
 		Rank(now time.Time) (rank int, ok bool)
 
-		// Pools returns what is seen of the pools whose engines can be ordered.
+		// Pools returns what this node knows of the pools whose engines can be ordered.
 		Pools(now time.Time) []Pool
 
-		// Work returns, by pool, the reading that this node gave to engines so far, in milliseconds of an engine.
+		// Work returns, by pool, the prompt-processing work that this node gave to engines so far, in milliseconds of engine time.
 		Work() map[string]scaling.Demand
 	}
 
@@ -118,30 +119,30 @@
 	Pool struct {
 		Name   string
 		Limits scaling.Limits
-		Halls  map[string]scaling.Seen
+		Halls  map[string]scaling.HallState
 	}
 
-	// Settings are what the operators set.
+	// Settings configure a node's part.
 	Settings struct {
-		Name        string        // Name is this node's.
-		Process     string        // Process tells this process from all others.
-		PeerAddress string        // PeerAddress is where peers call this node.
-		Apart       time.Duration // Apart is the least time between two terms of one node with another's between them.
-		Window      time.Duration // Window is the length of a window of usage.
-		Late        time.Duration // Late is how long after its end a window is due.
-		Usage       bool          // Usage says that usage is reported.
-		Scaling     bool          // Scaling says that engines are ordered.
+		Name        string        // Name is the name of this node.
+		ProcessID   string        // ProcessID is unique to this process.
+		PeerAddress string        // PeerAddress is this node's peer address.
+		ReturnDelay time.Duration // ReturnDelay is the least time between two terms of one node with a term of another node between them.
+		Window      time.Duration // Window is the length of a usage window.
+		DueAfter    time.Duration // DueAfter is how long after its end a window is due.
+		Usage       bool          // Usage enables usage reports.
+		Scaling     bool          // Scaling enables orders of engines.
 	}
 
-	// Holder is who holds the duties, as a node knows it.
+	// Holder is the lease holder, as far as a node knows.
 	Holder struct {
-		Token   int64
-		Address string
-		SaidAt  time.Time // SaidAt is when the holder last renewed its lease, on this node's clock.
-		Free    bool      // Free says that the holder gave its term up.
+		Token     int64
+		Address   string
+		RenewedAt time.Time // RenewedAt is when the holder last renewed its lease, on this node's clock.
+		Released  bool      // Released is set if the holder released its term.
 	}
 
-	// Duties is one node's part. Its methods may be called from many goroutines.
+	// Duties is one node's part. It is safe for concurrent use.
 	Duties struct {
 		settings Settings
 		store    Store
@@ -154,34 +155,36 @@
 		Counter *usage.Counter // Counter counts the requests of this node.
 		ledger  *usage.Ledger
 
-		mu       sync.Mutex
-		lease    *lease.Lease
-		told     Holder                     // told is the holder that this node heard of last.
-		aloneAt  time.Time                  // aloneAt is since when this node would become the holder and hears of none; zero where it does.
-		mine     int64                      // mine is the token of this process's last term, until it gives it up.
-		restsTo  time.Time                  // restsTo is until when this node leaves the duties to others.
-		failing  time.Time                  // failing is since when the platform's calls fail; zero where they don't.
-		releases bool                       // releases says that this node stops.
-		demand   demand                     // demand is what engines are given to read, as the nodes tell the holder.
-		scalers  map[string]*scaling.Scaler // scalers are by pool.
-		orders   string                     // orders is the row of orders as it lies in the store.
-		wake     chan struct{}              // wake ends the rest of hold.
+		mu            sync.Mutex
+		lease         *lease.Lease
+		lastHolder    Holder                     // lastHolder is the most recent holder that this node learned of.
+		noHolderSince time.Time                  // noHolderSince is since when this candidate has known of no active holder; zero if there is one.
+		ownToken      int64                      // ownToken is the token of this process's last term, until it is released.
+		cooldownUntil time.Time                  // cooldownUntil is until when this node does not campaign.
+		failingSince  time.Time                  // failingSince is since when the platform's calls have failed; zero if they succeed.
+		stopping      bool                       // stopping is set once this node is stopping.
+		demand        demand                     // demand is the load of all nodes, as reported to the holder.
+		scalers       map[string]*scaling.Scaler // scalers holds the scalers by pool.
+		storedOrders  string                     // storedOrders is the row of orders as last stored.
+		wake          chan struct{}              // wake wakes runLease early.
 	}
 )
 
-// New returns a node's part in the duties. Run begins it.
+// New returns a node's part; Run starts it.
 func New(now time.Time, s Settings, store Store, p Platform, caller Caller, node Node, log *slog.Logger) *Duties {
 	day := usage.NewClock(now, clock.Wall(now))
 	return &Duties{
 		settings: s, store: store, platform: p, caller: caller, node: node, log: log,
-		clock: day, Counter: usage.NewCounter(s.Process, s.Window, day), ledger: usage.NewLedger(s.Window, s.Late, day),
-		lease:  lease.New(s.Name, s.PeerAddress, lease.Terms{Life: s.life(), Margin: margin, Apart: s.Apart}),
-		demand: demand{nodes: map[string]*given{}}, scalers: map[string]*scaling.Scaler{}, wake: make(chan struct{}, 1),
+		clock: day, Counter: usage.NewCounter(s.ProcessID, s.Window, day), ledger: usage.NewLedger(s.Window, s.DueAfter, day),
+		lease:  lease.New(s.Name, s.PeerAddress, lease.Timing{TTL: s.leaseTTL(), Margin: takeoverMargin, ReturnDelay: s.ReturnDelay}),
+		demand: demand{nodes: map[string]*nodeWork{}}, scalers: map[string]*scaling.Scaler{}, wake: make(chan struct{}, 1),
 	}
 }
 
-// life returns the life of the lease.
-func (s Settings) life() time.Duration { return time.Duration(lifeShare * float64(s.Apart)) }
+// leaseTTL returns the TTL of the lease.
+func (s Settings) leaseTTL() time.Duration {
+	return time.Duration(leaseTTLShare * float64(s.ReturnDelay))
+}
 
 // Run takes part until the context ends.
 func (d *Duties) Run(ctx context.Context) {
@@ -193,7 +196,7 @@
 	if d.settings.Scaling {
 		wg.Go(func() { d.orderEngines(ctx) })
 	}
-	d.hold(ctx)
+	d.runLease(ctx)
 	wg.Wait()
 }
 
@@ -201,42 +204,42 @@
 func (d *Duties) Holds(now time.Time) (lease.Term, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.acts(now)
+	return d.activeTerm(now)
 }
 
-// acts returns the term in which this node may act: it holds the lease, and has taken what the holder before left. Counts
-// that came between the two would be lost. The caller holds the lock.
-func (d *Duties) acts(now time.Time) (lease.Term, bool) {
+// activeTerm returns the term in which this node may act: it holds the lease and has loaded the state of the previous holder.
+// Counts accepted before that would be lost. The caller holds the lock.
+func (d *Duties) activeTerm(now time.Time) (lease.Term, bool) {
 	term, holds := d.lease.Holds(now)
-	return term, holds && term.Token == d.mine
+	return term, holds && term.Token == d.ownToken
 }
 
-// Hear takes who holds the duties, as a peer says.
-func (d *Duties) Hear(h Holder) {
+// ObserveHolder records the holder that a peer reports.
+func (d *Duties) ObserveHolder(h Holder) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	newer := h.Free && !d.told.Free || h.Free == d.told.Free && h.SaidAt.After(d.told.SaidAt)
-	if h.Token > d.told.Token || h.Token == d.told.Token && newer {
-		d.told = h
+	newer := h.Released && !d.lastHolder.Released || h.Released == d.lastHolder.Released && h.RenewedAt.After(d.lastHolder.RenewedAt)
+	if h.Token > d.lastHolder.Token || h.Token == d.lastHolder.Token && newer {
+		d.lastHolder = h
 	}
 }
 
-// Holder returns who holds the duties, as far as this node knows.
+// Holder returns the lease holder, as far as this node knows.
 func (d *Duties) Holder(now time.Time) Holder {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if term, ok := d.acts(now); ok {
-		d.told = Holder{Token: term.Token, Address: d.settings.PeerAddress, SaidAt: d.lease.Renewed()}
+	if term, ok := d.activeTerm(now); ok {
+		d.lastHolder = Holder{Token: term.Token, Address: d.settings.PeerAddress, RenewedAt: d.lease.RenewedAt()}
 	}
-	return d.told
+	return d.lastHolder
 }
 
-// reportCounts sends this node's counts to the holder, until the context ends.
+// reportCounts sends this node's counts to the holder until the context ends.
 func (d *Duties) reportCounts(ctx context.Context) {
-	for pause.For(ctx, reportEvery) {
+	for pause.For(ctx, reportInterval) {
 		now := clock.Now()
 		h := d.Holder(now)
-		if h.Token == 0 || h.Free {
+		if h.Token == 0 || h.Released {
 			continue
 		}
 		r, ok := d.Counter.Report(now, h.Token)
@@ -246,11 +249,11 @@
 		r.Work = d.node.Work()
 		ack, err := d.sendCounts(ctx, h, &r)
 		if err != nil {
-			d.log.Debug("counts not sent", "holder", h.Address, "token", h.Token, "error", err.Error())
+			d.log.Debug("cannot send counts to the holder", "holder", h.Address, "token", h.Token, "error", err.Error())
 			continue
 		}
-		if moved := d.Counter.Acked(now, clock.Now(), ack); moved != 0 {
-			d.log.Warn("time of day put right", "by_ms", moved.Milliseconds(), "holder", h.Address)
+		if moved := d.Counter.HandleAck(now, clock.Now(), ack); moved != 0 {
+			d.log.Warn("wall clock corrected", "by_ms", moved.Milliseconds(), "holder", h.Address)
 		}
 	}
 }
@@ -258,7 +261,7 @@
 // sendCounts sends counts to the holder, which may be this node.
 func (d *Duties) sendCounts(ctx context.Context, h Holder, r *usage.Report) (usage.Ack, error) {
 	if h.Address == d.settings.PeerAddress {
-		return d.take(clock.Now(), r)
+		return d.addCounts(clock.Now(), r)
 	}
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
@@ -269,30 +272,30 @@
 	return ack, nil
 }
 
-// TakeCounts takes a node's counts; it is the handler of MethodUsage.
-func (d *Duties) TakeCounts(_ context.Context, r *usage.Report) (any, error) {
-	return d.take(clock.Now(), r)
+// HandleCounts accepts a node's counts; it is the handler of MethodUsage.
+func (d *Duties) HandleCounts(_ context.Context, r *usage.Report) (any, error) {
+	return d.addCounts(clock.Now(), r)
 }
 
-// take takes a node's counts, if this node is the holder.
-func (d *Duties) take(now time.Time, r *usage.Report) (usage.Ack, error) {
+// addCounts adds a node's counts, if this node is the holder.
+func (d *Duties) addCounts(now time.Time, r *usage.Report) (usage.Ack, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	term, ok := d.acts(now)
+	term, ok := d.activeTerm(now)
 	if !ok {
 		return usage.Ack{}, errNotHolder
 	}
-	d.demand.take(now, r.Node, r.Work)
-	return d.ledger.Take(now, term.Token, *r), nil
+	d.demand.update(now, r.Node, r.Work)
+	return d.ledger.AddReport(now, term.Token, *r), nil
 }
 
-// reportWindows reports the windows that are settled, while this node is the holder, until the context ends.
+// reportWindows reports settled windows while this node is the holder, until the context ends.
 func (d *Duties) reportWindows(ctx context.Context) {
 	var backoff pause.Backoff
 	for ctx.Err() == nil {
 		term, ok := d.Holds(clock.Now())
 		if !ok {
-			pause.For(ctx, restPoll)
+			pause.For(ctx, idlePoll)
 			continue
 		}
 		w, due := d.ledger.Due()
@@ -301,26 +304,26 @@
 			continue
 		}
 		begin := clock.Now()
-		err := d.call(ctx, term, func(ctx context.Context) error {
+		err := d.callPlatform(ctx, term, func(ctx context.Context) error {
 			return d.platform.Usage(ctx, d.settings.Name, term.Token, w.Number, w.Counts)
 		})
 		after := clock.Since(begin)
 		if err != nil && !errors.Is(err, ErrRefused) {
-			d.log.Warn("usage not reported", "window", w.Number, "token", term.Token, "ms", after.Milliseconds(), "error", err.Error())
+			d.log.Warn("cannot report usage; retrying", "window", w.Number, "token", term.Token, "ms", after.Milliseconds(), "error", err.Error())
 			backoff.Wait(ctx)
 			continue
 		}
 		backoff.Reset()
-		d.ledger.Sent(w.Number)
+		d.ledger.MarkSent(w.Number)
 		d.log.Info("usage reported", "window", w.Number, "token", term.Token, "teams", len(w.Counts), "requests", w.Requests(), "late_ms", d.ledger.Age(begin, w.Number).Milliseconds(),
 			"ms", after.Milliseconds(), "refused", err != nil)
 	}
 }
 
-// call makes a call to the platform that ends before the term does, and notes whether the platform can be called.
-func (d *Duties) call(ctx context.Context, term lease.Term, f func(ctx context.Context) error) error {
+// callPlatform makes a call to the platform that ends before the term does, and records whether the platform is reachable.
+func (d *Duties) callPlatform(ctx context.Context, term lease.Term, f func(ctx context.Context) error) error {
 	now := clock.Now()
-	left := min(term.Until.Sub(now), callMost)
+	left := min(term.Until.Sub(now), maxCallTime)
 	if left <= 0 {
 		return errNotHolder
 	}
@@ -330,10 +333,10 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch {
-	case err == nil || errors.Is(err, ErrNone) || errors.Is(err, ErrRefused):
-		d.failing = time.Time{}
-	case d.failing.IsZero():
-		d.failing = now
+	case err == nil || errors.Is(err, ErrNoCapacity) || errors.Is(err, ErrRefused):
+		d.failingSince = time.Time{}
+	case d.failingSince.IsZero():
+		d.failingSince = now
 	}
 	return err
 }
--- a/internal/edge/config.go
+++ b/internal/edge/config.go
@@ -14,7 +14,7 @@
 // them.
 func (e *Edge) applyConfig(now time.Time, rows []feed.Row) {
 	begin := clock.Now()
-	e.evacuations.Take(now, platform.EvacuationChanges(rows))
+	e.evacuations.Apply(now, platform.EvacuationChanges(rows))
 	table, err := platform.LatestConfig(rows)
 	if err != nil {
 		e.configsRefused.Add(1)
--- a/internal/edge/duties.go
+++ b/internal/edge/duties.go
@@ -36,11 +36,11 @@
 	}
 	e.dutyClient = platform.NewDutyClient(s.DutiesAddress)
 	d := duty.New(now, duty.Settings{
-		Name: s.Instance, Process: fmt.Sprintf("%s/%x", s.Instance, clock.Wall(now).UnixNano()), PeerAddress: s.PeerAddress,
-		Apart: ms(s.LeaseMs), Window: ms(s.UsageWindowMs), Late: ms(s.UsageLateMs),
+		Name: s.Instance, ProcessID: fmt.Sprintf("%s/%x", s.Instance, clock.Wall(now).UnixNano()), PeerAddress: s.PeerAddress,
+		ReturnDelay: ms(s.LeaseMs), Window: ms(s.UsageWindowMs), DueAfter: ms(s.UsageLateMs),
 		Usage: slices.Contains(s.Duties, settings.SettingsDutiesElemUsage), Scaling: slices.Contains(s.Duties, settings.SettingsDutiesElemScaling),
 	}, e.store, e.dutyClient, e.peerClient, dutyNode{e}, e.log)
-	e.peerServer.Handle(duty.MethodUsage, peer.Typed(d.TakeCounts))
+	e.peerServer.Handle(duty.MethodUsage, peer.Typed(d.HandleCounts))
 	e.metrics.usage = d.Counter
 	return d
 }
@@ -74,10 +74,10 @@
 		if p.Scaling == nil {
 			continue
 		}
-		halls := n.e.placement.Present(p.Name)
-		for hall := range p.Scaling.Prices {
+		halls := n.e.placement.HallEngines(p.Name)
+		for hall := range p.Scaling.HallPrices {
 			if _, ok := halls[hall]; !ok {
-				halls[hall] = scaling.Seen{} // Engines may be ordered in a hall that has none yet.
+				halls[hall] = scaling.HallState{} // Engines may be ordered in a hall that has none yet.
 			}
 		}
 		out = append(out, duty.Pool{Name: p.Name, Limits: *p.Scaling, Halls: halls})
@@ -87,7 +87,7 @@
 
 // Work returns, by pool, the prefill work that this node has sent to engines so far, in
 // milliseconds of an engine.
-func (n dutyNode) Work() map[string]scaling.Demand { return n.e.placement.Work() }
+func (n dutyNode) Work() map[string]scaling.Demand { return n.e.placement.PrefillWork() }
 
 // announcedHolder returns the duty holder that this node announces to its peers.
 func (e *Edge) announcedHolder(now time.Time) gossip.Holder {
@@ -95,10 +95,10 @@
 		return gossip.Holder{}
 	}
 	h := e.duties.Holder(now)
-	if h.Free {
+	if h.Released {
 		return gossip.Holder{Token: h.Token, Address: h.Address, AgeMs: -1}
 	}
-	if age := now.Sub(h.SaidAt); h.Token > 0 && age <= holderMaxAge {
+	if age := now.Sub(h.RenewedAt); h.Token > 0 && age <= holderMaxAge {
 		return gossip.Holder{Token: h.Token, Address: h.Address, AgeMs: age.Milliseconds()}
 	}
 	return gossip.Holder{}
@@ -107,7 +107,7 @@
 // receiveHolder records the duty holder that a peer announced.
 func (e *Edge) receiveHolder(now time.Time, h gossip.Holder) {
 	if e.duties != nil && h.Token > 0 {
-		e.duties.Hear(duty.Holder{Token: h.Token, Address: h.Address, SaidAt: now.Add(-ms(int(max(h.AgeMs, 0)))), Free: h.AgeMs < 0})
+		e.duties.ObserveHolder(duty.Holder{Token: h.Token, Address: h.Address, RenewedAt: now.Add(-ms(int(max(h.AgeMs, 0)))), Released: h.AgeMs < 0})
 	}
 }
 
@@ -117,10 +117,10 @@
 	if e.duties == nil {
 		return nil
 	}
-	s := e.duties.Shown(now)
+	s := e.duties.Status(now)
 	rows := []wire.Row{{
-		Name: "holder", Node: s.Holder.Address, Count: int(s.Holder.Token), AgeMs: int(now.Sub(s.Holder.SaidAt).Milliseconds()),
-		Reason: fmt.Sprintf("term %d; holders before: %v", s.Holder.Token, s.Before), State: map[bool]string{true: "given up", false: "held"}[s.Holder.Free],
+		Name: "holder", Node: s.Holder.Address, Count: int(s.Holder.Token), AgeMs: int(now.Sub(s.Holder.RenewedAt).Milliseconds()),
+		Reason: fmt.Sprintf("term %d; holders before: %v", s.Holder.Token, s.PreviousHolders), State: map[bool]string{true: "given up", false: "held"}[s.Holder.Released],
 	}}
 	for _, w := range s.Windows {
 		state := "open"
--- a/internal/usage/rows.go
+++ b/internal/usage/rows.go
@@ -12,26 +12,26 @@
 )
 
 const (
-	// forgetNode is how long the number of a node's last batch is remembered. Batches of a node are sent again for
-	// as long as it lives, four times a second.
-	forgetNode = 2 * time.Minute
+	// nodeTTL is how long the number of a node's last batch is remembered. A node resends its batches as
+	// long as it runs, four times a second.
+	nodeTTL = 2 * time.Minute
 
-	// The keys of rows.
+	// Row keys.
 	keyNodes      = "usage"
 	prefixWindows = "usage-"
 )
 
-// nodesRow is the row of what is not of one window.
+// nodesRow is the row of all state that does not belong to a window.
 type nodesRow struct {
 	Next  int64            `json:"next"`
 	Nodes map[string]int64 `json:"nodes"` // Nodes holds the number of each node's last batch that was added.
 }
 
-// Load takes the rows that the holder before left. What this node knew of an earlier term of its own is dropped.
+// Load loads the rows of the previous holder. State of an earlier term of this node is discarded.
 func (l *Ledger) Load(now time.Time, rows []feed.Row) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.since, l.state, l.written, l.begun, l.next = now, 0, 0, false, 0
+	l.since, l.revision, l.storedRevision, l.nextKnown, l.next = now, 0, 0, false, 0
 	l.windows, l.nodes = map[int64]*Window{}, map[string]*node{}
 	for _, r := range rows {
 		if err := l.load(now, r); err != nil {
@@ -41,16 +41,16 @@
 	return nil
 }
 
-// load takes one row.
+// load loads one row.
 func (l *Ledger) load(now time.Time, r feed.Row) error {
 	if r.Key == keyNodes {
 		var all nodesRow
 		if err := json.Unmarshal(r.Value, &all); err != nil {
 			return fmt.Errorf("decode usage of nodes: %w", err)
 		}
-		l.begun, l.next = all.Next > 0, all.Next
+		l.nextKnown, l.next = all.Next > 0, all.Next
 		for name, taken := range all.Nodes {
-			l.nodes[name] = &node{taken: taken, durable: taken, heard: now, counted: now}
+			l.nodes[name] = &node{lastAdded: taken, lastStored: taken, heardAt: now, lastCountAt: now}
 		}
 		return nil
 	}
@@ -70,21 +70,21 @@
 	return nil
 }
 
-// Pending returns the rows that differ from what is in the store, by their keys alone, and the state that they are of.
-func (l *Ledger) Pending(now time.Time) (rows []feed.Row, state int64) {
+// PendingRows returns the rows that differ from the store, with their keys only, and the revision that they reflect.
+func (l *Ledger) PendingRows(now time.Time) (rows []feed.Row, revision int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.written == l.state {
-		return nil, l.state
+	if l.storedRevision == l.revision {
+		return nil, l.revision
 	}
 	all := nodesRow{Next: l.next, Nodes: map[string]int64{}}
 	for name, n := range l.nodes {
-		if now.Sub(n.heard) > forgetNode {
+		if now.Sub(n.heardAt) > nodeTTL {
 			delete(l.nodes, name)
 			continue
 		}
-		if n.taken > 0 {
-			all.Nodes[name] = n.taken
+		if n.lastAdded > 0 {
+			all.Nodes[name] = n.lastAdded
 		}
 	}
 	rows = append(rows, feed.Row{Key: keyNodes, Value: encode(all)})
@@ -93,15 +93,15 @@
 		switch {
 		case w.Sent:
 			rows = append(rows, feed.Row{Key: key, Deleted: true})
-		case w.changed > l.written:
+		case w.changed > l.storedRevision:
 			rows = append(rows, feed.Row{Key: key, Value: encode(w)})
 		}
 	}
 	sort.Slice(rows, func(i, j int) bool { return rows[i].Key < rows[j].Key })
-	return rows, l.state
+	return rows, l.revision
 }
 
-// encode returns what is kept as JSON; numbers and texts always can be encoded.
+// encode encodes rows as JSON, which can't fail for numbers and strings.
 func encode(v any) []byte {
 	text, err := json.Marshal(v)
 	if err != nil {
@@ -110,18 +110,18 @@
 	return text
 }
 
-// Written says that all up to a state is in the store.
-func (l *Ledger) Written(state int64) {
+// MarkWritten records that everything up to a revision is in the store.
+func (l *Ledger) MarkWritten(revision int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.written = max(l.written, state)
+	l.storedRevision = max(l.storedRevision, revision)
 	for _, n := range l.nodes {
-		if n.changed <= l.written {
-			n.durable = n.taken
+		if n.changed <= l.storedRevision {
+			n.lastStored = n.lastAdded
 		}
 	}
 	for number, w := range l.windows {
-		if w.Sent && w.changed <= l.written {
+		if w.Sent && w.changed <= l.storedRevision {
 			delete(l.windows, number)
 		}
 	}
