--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -66,7 +66,7 @@
 	// Admin serves the administration API.
 	Admin struct {
 		store     *config.Store
-		keeper    *config.Keeper
+		keeper    *config.Syncer
 		members   Members
 		peers     Caller
 		tables    Tables
@@ -97,7 +97,7 @@
 func WithMetrics(h http.Handler) Option { return func(a *Admin) { a.mux.Handle("GET /metrics", h) } }
 
 // New returns the administration API of a node.
-func New(store *config.Store, keeper *config.Keeper, members Members, peers Caller, tables Tables, log *slog.Logger, opts ...Option) *Admin {
+func New(store *config.Store, keeper *config.Syncer, members Members, peers Caller, tables Tables, log *slog.Logger, opts ...Option) *Admin {
 	a := &Admin{
 		store: store, keeper: keeper, members: members, peers: peers, tables: tables, log: log, mux: http.NewServeMux(),
 		accepted: func() {}, ready: func() error { return nil },
@@ -186,7 +186,7 @@
 	token := header.Bearer(r.Header)
 	view := a.store.View()
 	if view == nil || len(view.Config.Operators) == 0 {
-		if config.TokenHas(token, a.bootstrap) {
+		if config.TokenMatches(token, a.bootstrap) {
 			return bootstrapName, true
 		}
 		a.answer(w, http.StatusUnauthorized, failure("unauthorized"))
--- a/internal/config/change.go
+++ b/internal/config/change.go
@@ -39,7 +39,7 @@
 		return nil, err
 	}
 	for _, e := range ch.Entities {
-		if err := out.put(e); err != nil {
+		if err := out.setEntity(e); err != nil {
 			return nil, fmt.Errorf("apply change %s: %w", ch.ID, err)
 		}
 	}
@@ -47,8 +47,8 @@
 	return out, nil
 }
 
-// put sets or deletes one part.
-func (c *Config) put(e wire.Entity) (err error) {
+// setEntity sets or deletes one part.
+func (c *Config) setEntity(e wire.Entity) (err error) {
 	switch e.Kind {
 	case wire.EntityKindClass:
 		c.Classes, err = replace(c.Classes, e, func(x *Class) string { return x.Name })
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -23,8 +23,8 @@
 var now = time.Unix(1000, 0)
 
 type (
-	// table is a table in memory whose writes fail on command.
-	table struct {
+	// faultyTable is a faultyTable in memory whose writes fail on command.
+	faultyTable struct {
 		mu   sync.Mutex
 		rows map[string]kv.Row
 		// faults are what becomes of the next writes: "" for nothing, "lost" for an
@@ -32,8 +32,8 @@
 		faults []string
 	}
 
-	// nobody is no peers.
-	nobody struct{}
+	// noPeers is no peers.
+	noPeers struct{}
 )
 
 // TestMain fixes the seed of the random checks, so that each run gives the same
@@ -49,19 +49,19 @@
 }
 
 // Changes fails, as there are no peers.
-func (nobody) Changes(context.Context, int) ([]*wire.ChangesReply, error) {
+func (noPeers) Changes(context.Context, int) ([]*wire.ChangesReply, error) {
 	return nil, errors.New("no peers")
 }
 
 // Get reads a row.
-func (t *table) Get(_ context.Context, key string) (kv.Row, error) {
+func (t *faultyTable) Get(_ context.Context, key string) (kv.Row, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.rows[key], nil
 }
 
 // List reads rows by prefix.
-func (t *table) List(_ context.Context, prefix, after string, limit int) ([]kv.Row, error) {
+func (t *faultyTable) List(_ context.Context, prefix, after string, limit int) ([]kv.Row, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []kv.Row
@@ -75,7 +75,7 @@
 }
 
 // Transact checks and writes rows, or fails as the next fault says.
-func (t *table) Transact(_ context.Context, txn kv.Txn) error {
+func (t *faultyTable) Transact(_ context.Context, txn kv.Txn) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	fault := ""
@@ -99,14 +99,14 @@
 	return nil
 }
 
-// keeper returns a keeper of a node on a table, and its store.
-func keeper(tab *table) (*config.Keeper, *config.Store) {
+// newSyncer returns a newSyncer of a node on a table, and its store.
+func newSyncer(tab *faultyTable) (*config.Syncer, *config.Store) {
 	s := config.NewStore()
-	return config.NewKeeper(s, tab, nobody{}, slog.New(slog.DiscardHandler)), s
+	return config.NewSyncer(s, tab, noPeers{}, slog.New(slog.DiscardHandler)), s
 }
 
 // setWeight makes a change.
-func setWeight(k *config.Keeper, id string, weight int) (wire.Change, error) {
+func setWeight(k *config.Syncer, id string, weight int) (wire.Change, error) {
 	token := config.HashToken("t")
 	return k.Write(context.Background(), now, id, "op", "set", config.SetFields(wire.EntityKindTeam, "alfa", []config.Field{
 		{Name: "weight", Value: []byte(fmt.Sprint(weight))}, {Name: "token_sha256", Value: []byte(`"` + token + `"`)},
@@ -118,14 +118,14 @@
 // version; what was refused is not; and no store goes back.
 func TestChangesUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		tab := &table{rows: map[string]kv.Row{}}
-		k1, s1 := keeper(tab)
-		k2, s2 := keeper(tab)
+		tab := &faultyTable{rows: map[string]kv.Row{}}
+		k1, s1 := newSyncer(tab)
+		k2, s2 := newSyncer(tab)
 		accepted := map[string]int{}
 		highest := map[*config.Store]int{}
 		for i := range 8 {
 			tab.faults = rapid.SliceOfN(rapid.SampledFrom([]string{"", "lost", "dropped"}), 0, 2).Draw(t, "faults")
-			k := rapid.SampledFrom([]*config.Keeper{k1, k2}).Draw(t, "node")
+			k := rapid.SampledFrom([]*config.Syncer{k1, k2}).Draw(t, "node")
 			id := fmt.Sprint("c", i)
 			ch, err := setWeight(k, id, i+1)
 			if err != nil {
@@ -152,9 +152,9 @@
 }
 
 func TestConflictWritesNothing(t *testing.T) {
-	tab := &table{rows: map[string]kv.Row{}}
-	k, _ := keeper(tab)
-	other, _ := keeper(tab)
+	tab := &faultyTable{rows: map[string]kv.Row{}}
+	k, _ := newSyncer(tab)
+	other, _ := newSyncer(tab)
 	_, err := k.Write(context.Background(), now, "mine", "op", "race", func(c *config.Config) error {
 		_, err := setWeight(other, "theirs", 3) // Another operator comes between.
 		return err
@@ -169,8 +169,8 @@
 }
 
 func TestUndoIsANewVersion(t *testing.T) {
-	tab := &table{rows: map[string]kv.Row{}}
-	k, s := keeper(tab)
+	tab := &faultyTable{rows: map[string]kv.Row{}}
+	k, s := newSyncer(tab)
 	for i := range 4 {
 		if _, err := setWeight(k, fmt.Sprint(i), i+1); err != nil {
 			t.Fatal(err)
@@ -207,10 +207,10 @@
 	if err := s.Apply([]wire.Change{{Version: 8}}); !trace.IsCompareFailed(err) || s.Version() != 6 {
 		t.Errorf("Apply(8) = %v, version %d", err, s.Version())
 	}
-	if changes, known := s.After(5); !known || len(changes) != 1 {
+	if changes, known := s.ChangesAfter(5); !known || len(changes) != 1 {
 		t.Errorf("After(5) = %v, %v", changes, known)
 	}
-	if _, known := s.After(2); known {
+	if _, known := s.ChangesAfter(2); known {
 		t.Error("After(2) is known though the store began at 5")
 	}
 }
--- a/internal/config/edit.go
+++ b/internal/config/edit.go
@@ -36,7 +36,7 @@
 			return fmt.Errorf("encode %s %s: %w", kind, name, err)
 		}
 		raw := json.RawMessage(text)
-		return c.put(wire.Entity{Kind: kind, Name: name, Body: &raw})
+		return c.setEntity(wire.Entity{Kind: kind, Name: name, Body: &raw})
 	}
 }
 
@@ -50,7 +50,7 @@
 		if _, ok := parts[string(kind)+"/"+name]; !ok {
 			return trace.NotFound("no %s %s", kind, name)
 		}
-		return c.put(wire.Entity{Kind: kind, Name: name})
+		return c.setEntity(wire.Entity{Kind: kind, Name: name})
 	}
 }
 
--- a/internal/config/keeper.go
+++ b/internal/config/keeper.go
@@ -21,12 +21,12 @@
 	fullKey      = "config/full"
 	changePrefix = "config/change/"
 
-	// fetchLimit bounds how many changes are read at once; beyond it the whole
+	// maxFetchedChanges bounds how many changes are read at once; beyond it the whole
 	// configuration is read instead.
-	fetchLimit = 64
+	maxFetchedChanges = 64
 
-	// writeTries bounds how often one uncertain write is tried and read back.
-	writeTries = 8
+	// maxWriteAttempts bounds how often one uncertain write is tried and read back.
+	maxWriteAttempts = 8
 )
 
 type (
@@ -42,9 +42,9 @@
 		Changes(ctx context.Context, after int) ([]*wire.ChangesReply, error)
 	}
 
-	// Keeper reads the configuration from the platform and from peers into a
+	// Syncer reads the configuration from the platform and from peers into a
 	// Store, and writes accepted changes to the platform.
-	Keeper struct {
+	Syncer struct {
 		store *Store
 		table Table
 		peers Peers
@@ -63,49 +63,49 @@
 	Edit func(c *Config) error
 )
 
-// NewKeeper returns a keeper that fills a store.
-func NewKeeper(store *Store, table Table, peers Peers, log *slog.Logger) *Keeper {
-	return &Keeper{store: store, table: table, peers: peers, log: log, wake: make(chan struct{}, 1)}
+// NewSyncer returns a keeper that fills a store.
+func NewSyncer(store *Store, table Table, peers Peers, log *slog.Logger) *Syncer {
+	return &Syncer{store: store, table: table, peers: peers, log: log, wake: make(chan struct{}, 1)}
 }
 
 // Run keeps the store up to date until the context ends. It polls the head row
 // each interval, and asks peers at once when Wake is called.
-func (k *Keeper) Run(ctx context.Context, interval time.Duration) {
+func (s *Syncer) Run(ctx context.Context, interval time.Duration) {
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
-	refresh := k.Refresh
+	refresh := s.Refresh
 	for {
 		if err := refresh(ctx); err != nil && ctx.Err() == nil {
-			k.log.Warn("configuration not refreshed", "error", err.Error())
+			s.log.Warn("configuration not refreshed", "error", err.Error())
 		}
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			refresh = k.Refresh
-		case <-k.wake:
-			refresh = k.catchUp
+			refresh = s.Refresh
+		case <-s.wake:
+			refresh = s.catchUp
 		}
 	}
 }
 
 // Wake makes Run ask at once, such as when a peer has a newer version.
-func (k *Keeper) Wake() {
+func (s *Syncer) Wake() {
 	select {
-	case k.wake <- struct{}{}:
+	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
 // Refresh brings the store up to the newest version that the platform knows, or
 // where it can't be asked, the peers. It fails where neither can.
-func (k *Keeper) Refresh(ctx context.Context) error {
-	tableErr := k.fromTable(ctx)
+func (s *Syncer) Refresh(ctx context.Context) error {
+	tableErr := s.pullFromPlatform(ctx)
 	if tableErr == nil {
 		return nil
 	}
-	peerErr := k.fromPeers(ctx)
-	if peerErr == nil && k.store.Version() > 0 {
+	peerErr := s.pullFromPeers(ctx)
+	if peerErr == nil && s.store.Version() > 0 {
 		return nil
 	}
 	return fmt.Errorf("refresh configuration: %w", trace.NewAggregate(tableErr, peerErr))
@@ -113,52 +113,52 @@
 
 // catchUp takes a newer version from peers, and only where that brings nothing
 // from the platform, which all nodes would ask at the same time.
-func (k *Keeper) catchUp(ctx context.Context) error {
-	before := k.store.Version()
-	if err := k.fromPeers(ctx); err == nil && k.store.Version() > before {
+func (s *Syncer) catchUp(ctx context.Context) error {
+	before := s.store.Version()
+	if err := s.pullFromPeers(ctx); err == nil && s.store.Version() > before {
 		return nil
 	}
-	return k.Refresh(ctx)
+	return s.Refresh(ctx)
 }
 
-// fromPeers takes what peers know.
-func (k *Keeper) fromPeers(ctx context.Context) error {
-	replies, err := k.peers.Changes(ctx, k.store.Version())
+// pullFromPeers takes what peers know.
+func (s *Syncer) pullFromPeers(ctx context.Context) error {
+	replies, err := s.peers.Changes(ctx, s.store.Version())
 	if err != nil {
 		return fmt.Errorf("ask peers: %w", err)
 	}
 	for _, r := range replies {
-		if err := k.Take(r); err != nil {
+		if err := s.ApplyReply(r); err != nil {
 			return fmt.Errorf("take a peer's changes: %w", err)
 		}
 	}
 	return nil
 }
 
-// Take puts a peer's answer into force where it is newer.
-func (k *Keeper) Take(r *wire.ChangesReply) error {
+// ApplyReply puts a peer's answer into force where it is newer.
+func (s *Syncer) ApplyReply(r *wire.ChangesReply) error {
 	if r.Config == nil {
 		if len(r.Changes) == 0 {
 			return nil
 		}
-		return k.store.Apply(r.Changes)
+		return s.store.Apply(r.Changes)
 	}
 	c := &Config{}
 	if err := json.Unmarshal(*r.Config, c); err != nil {
 		return fmt.Errorf("decode configuration: %w", err)
 	}
-	_, err := k.store.Replace(c)
+	_, err := s.store.Replace(c)
 	return err
 }
 
-// Answer returns what this node knows after a version, for a peer.
-func (k *Keeper) Answer(after int) (*wire.ChangesReply, error) {
-	view := k.store.View()
+// ChangesReply returns what this node knows after a version, for a peer.
+func (s *Syncer) ChangesReply(after int) (*wire.ChangesReply, error) {
+	view := s.store.View()
 	if view == nil {
 		return &wire.ChangesReply{}, nil
 	}
 	reply := &wire.ChangesReply{Version: view.Config.Version}
-	changes, known := k.store.After(after)
+	changes, known := s.store.ChangesAfter(after)
 	if known && after > 0 {
 		reply.Changes = changes
 		return reply, nil
@@ -172,35 +172,35 @@
 	return reply, nil
 }
 
-// fromTable reads the head row and what it says is newer.
-func (k *Keeper) fromTable(ctx context.Context) error {
-	h, _, err := k.head(ctx)
+// pullFromPlatform reads the head row and what it says is newer.
+func (s *Syncer) pullFromPlatform(ctx context.Context) error {
+	h, _, err := s.readHead(ctx)
 	if err != nil {
 		return err
 	}
-	have := k.store.Version()
+	have := s.store.Version()
 	if h.Version <= have {
 		return nil
 	}
-	if have > 0 && h.Version-have <= fetchLimit {
-		changes, err := k.History(ctx, have, fetchLimit)
-		if err == nil && k.store.Apply(changes) == nil && k.store.Version() >= h.Version {
+	if have > 0 && h.Version-have <= maxFetchedChanges {
+		changes, err := s.History(ctx, have, maxFetchedChanges)
+		if err == nil && s.store.Apply(changes) == nil && s.store.Version() >= h.Version {
 			return nil
 		}
 	}
-	c, err := k.full(ctx)
+	c, err := s.readConfig(ctx)
 	if err != nil {
 		return err
 	}
-	if _, err := k.store.Replace(c); err != nil {
+	if _, err := s.store.Replace(c); err != nil {
 		return fmt.Errorf("take configuration of the platform: %w", err)
 	}
 	return nil
 }
 
-// head reads the head row and its row version.
-func (k *Keeper) head(ctx context.Context) (head, int, error) {
-	row, err := k.table.Get(ctx, HeadKey)
+// readHead reads the readHead row and its row version.
+func (s *Syncer) readHead(ctx context.Context) (head, int, error) {
+	row, err := s.table.Get(ctx, HeadKey)
 	if err != nil {
 		return head{}, 0, fmt.Errorf("read head of configuration: %w", err)
 	}
@@ -226,9 +226,9 @@
 	return h.Version, err
 }
 
-// full reads the whole configuration; an absent one is empty, at version 0.
-func (k *Keeper) full(ctx context.Context) (*Config, error) {
-	row, err := k.table.Get(ctx, fullKey)
+// readConfig reads the whole configuration; an absent one is empty, at version 0.
+func (s *Syncer) readConfig(ctx context.Context) (*Config, error) {
+	row, err := s.table.Get(ctx, fullKey)
 	if err != nil {
 		return nil, fmt.Errorf("read configuration: %w", err)
 	}
@@ -243,8 +243,8 @@
 }
 
 // History returns up to limit accepted changes after a version, oldest first.
-func (k *Keeper) History(ctx context.Context, after, limit int) ([]wire.Change, error) {
-	rows, err := k.table.List(ctx, changePrefix, changeKey(after), limit)
+func (s *Syncer) History(ctx context.Context, after, limit int) ([]wire.Change, error) {
+	rows, err := s.table.List(ctx, changePrefix, changeKey(after), limit)
 	if err != nil {
 		return nil, fmt.Errorf("read history: %w", err)
 	}
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -8,8 +8,8 @@
 	"github.com/gravitational/trace"
 )
 
-// recentChanges is how many changes a node keeps to hand on to peers.
-const recentChanges = 256
+// maxRecentChanges is how many changes a node keeps to hand on to peers.
+const maxRecentChanges = 256
 
 // Store holds the configuration in force at this node. Its version only grows.
 type Store struct {
@@ -82,7 +82,7 @@
 			return fmt.Errorf("apply change %s: %w", ch.ID, err)
 		}
 		s.recent = append(s.recent, ch)
-		if len(s.recent) > recentChanges {
+		if len(s.recent) > maxRecentChanges {
 			s.recent = s.recent[1:]
 		}
 		s.install(v)
@@ -97,8 +97,8 @@
 	s.changed = make(chan struct{})
 }
 
-// After returns the changes after a version, or false where not all are known.
-func (s *Store) After(version int) ([]wire.Change, bool) {
+// ChangesAfter returns the changes after a version, or false where not all are known.
+func (s *Store) ChangesAfter(version int) ([]wire.Change, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.view == nil || version >= s.view.Config.Version {
--- a/internal/config/view.go
+++ b/internal/config/view.go
@@ -28,8 +28,8 @@
 	defaultMaxWaitMs = 60000
 )
 
-// compiled returns the schema's compiled form, made when it is first needed.
-var compiled = sync.OnceValue(func() *check.Schema { return check.MustCompile(schema.Config) })
+// configSchema returns the schema's configSchema form, made when it is first needed.
+var configSchema = sync.OnceValue(func() *check.Schema { return check.MustCompile(schema.Config) })
 
 // View is a configuration with its indexes. It is never changed after it was
 // made, so that any goroutine may read it.
@@ -48,7 +48,7 @@
 
 // Parse checks the text of a configuration, in JSON with comments.
 func Parse(name string, text []byte) (*Config, error) {
-	plain, err := compiled().Read(name, text)
+	plain, err := configSchema().Read(name, text)
 	if err != nil {
 		return nil, fmt.Errorf("check configuration: %w", err)
 	}
@@ -199,8 +199,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// TokenHas reports whether a token has a hash, as HashToken returns it; none has an empty one.
-func TokenHas(token, hash string) bool {
+// TokenMatches reports whether a token has a hash, as HashToken returns it; none has an empty one.
+func TokenMatches(token, hash string) bool {
 	return hash != "" && subtle.ConstantTimeCompare([]byte(HashToken(token)), []byte(hash)) == 1
 }
 
--- a/internal/config/writer.go
+++ b/internal/config/writer.go
@@ -18,45 +18,45 @@
 // this node. trace.CompareFailed means that another operator's change came
 // between and nothing was written; ErrUncertain means that the platform could
 // not be asked in time, and the history will tell by the change's id.
-func (k *Keeper) Write(ctx context.Context, now time.Time, id, author, statement string, edit Edit) (wire.Change, error) {
-	h, rowVersion, err := k.head(ctx)
+func (s *Syncer) Write(ctx context.Context, now time.Time, id, author, statement string, edit Edit) (wire.Change, error) {
+	h, rowVersion, err := s.readHead(ctx)
 	if err != nil {
 		return wire.Change{}, fmt.Errorf("nothing written: %w", err)
 	}
-	base, err := k.full(ctx)
+	base, err := s.readConfig(ctx)
 	if err != nil {
 		return wire.Change{}, fmt.Errorf("nothing written: %w", err)
 	}
 	if base.Version != h.Version {
 		return wire.Change{}, trace.CompareFailed("another change came between; nothing was written; try again")
 	}
-	ch, txn, err := prepare(base, rowVersion, edit)
+	ch, txn, err := prepareTxn(base, rowVersion, edit)
 	if err != nil {
 		return wire.Change{}, err
 	}
 	ch.ID, ch.Author, ch.Statement = id, author, statement
 	ch.At = clock.Wall(now).UTC().Format(time.RFC3339Nano)
-	if err := txn.finish(ch); err != nil {
+	if err := txn.addChangeRows(ch); err != nil {
 		return wire.Change{}, err
 	}
-	if err := k.commit(ctx, ch, txn.Txn); err != nil {
+	if err := s.commit(ctx, ch, txn.Txn); err != nil {
 		return ch, err
 	}
-	if err := k.store.Apply([]wire.Change{ch}); err != nil {
-		if err := k.fromTable(ctx); err != nil {
+	if err := s.store.Apply([]wire.Change{ch}); err != nil {
+		if err := s.pullFromPlatform(ctx); err != nil {
 			return ch, fmt.Errorf("accepted as version %d, but not yet in force here: %w", ch.Version, err)
 		}
 	}
 	return ch, nil
 }
 
-// pending is a transaction whose change row is not yet filled in.
-type pending struct {
+// pendingTxn is a transaction whose change row is not yet filled in.
+type pendingTxn struct {
 	kv.Txn
 }
 
-// prepare builds the change and the transaction that an edit asks for.
-func prepare(base *Config, rowVersion int, edit Edit) (wire.Change, *pending, error) {
+// prepareTxn builds the change and the transaction that an edit asks for.
+func prepareTxn(base *Config, rowVersion int, edit Edit) (wire.Change, *pendingTxn, error) {
 	next, err := base.Clone()
 	if err != nil {
 		return wire.Change{}, nil, err
@@ -69,7 +69,7 @@
 	if err != nil {
 		return wire.Change{}, nil, fmt.Errorf("encode configuration: %w", err)
 	}
-	if _, err := compiled().Read("configuration", text); err != nil {
+	if _, err := configSchema().Read("configuration", text); err != nil {
 		return wire.Change{}, nil, trace.BadParameter("%v", err)
 	}
 	// The difference is taken before NewView fills in the defaults.
@@ -80,14 +80,14 @@
 	if _, err := NewView(next); err != nil {
 		return wire.Change{}, nil, trace.BadParameter("%v", err)
 	}
-	txn := &pending{}
+	txn := &pendingTxn{}
 	txn.Checks = []kv.Check{{Key: HeadKey, Version: rowVersion}}
 	txn.Puts = []kv.Put{{Key: fullKey, Value: text}}
 	return wire.Change{Version: next.Version, Entities: after, Before: before}, txn, nil
 }
 
-// finish adds the rows of the change and of the head.
-func (p *pending) finish(ch wire.Change) error {
+// addChangeRows adds the rows of the change and of the head.
+func (p *pendingTxn) addChangeRows(ch wire.Change) error {
 	text, err := json.Marshal(ch)
 	if err != nil {
 		return fmt.Errorf("encode change: %w", err)
@@ -103,16 +103,16 @@
 // commit sends the transaction until it is known whether it took effect. An
 // uncertain write is sent again: the check on the head row lets at most one of
 // the copies through, and the id of the change tells whether it was ours.
-func (k *Keeper) commit(ctx context.Context, ch wire.Change, txn kv.Txn) error {
+func (s *Syncer) commit(ctx context.Context, ch wire.Change, txn kv.Txn) error {
 	uncertain := false
-	for try := 0; try < writeTries; try++ {
-		err := k.table.Transact(ctx, txn)
+	for attempt := 0; attempt < maxWriteAttempts; attempt++ {
+		err := s.table.Transact(ctx, txn)
 		switch {
 		case err == nil:
 			return nil
 		case errors.Is(err, kv.ErrConflict):
-			mine, readErr := k.accepted(ctx, ch)
-			if readErr == nil && mine {
+			ours, readErr := s.isAccepted(ctx, ch)
+			if readErr == nil && ours {
 				return nil
 			}
 			if readErr == nil {
@@ -124,16 +124,16 @@
 		case !uncertain:
 			return fmt.Errorf("nothing written: %w", err)
 		}
-		if err := pause(ctx, try); err != nil {
+		if err := waitBeforeRetry(ctx, attempt); err != nil {
 			break
 		}
 	}
 	return fmt.Errorf("change %s: %w", ch.ID, kv.ErrUncertain)
 }
 
-// accepted reports whether the change that made a version is this one.
-func (k *Keeper) accepted(ctx context.Context, ch wire.Change) (bool, error) {
-	row, err := k.table.Get(ctx, changeKey(ch.Version))
+// isAccepted reports whether the change that made a version is this one.
+func (s *Syncer) isAccepted(ctx context.Context, ch wire.Change) (bool, error) {
+	row, err := s.table.Get(ctx, changeKey(ch.Version))
 	if err != nil {
 		return false, fmt.Errorf("read change back: %w", err)
 	}
@@ -147,10 +147,10 @@
 	return got.ID == ch.ID, nil
 }
 
-// pause waits longer after each try, or until the context ends.
-func pause(ctx context.Context, try int) error {
+// waitBeforeRetry waits longer after each try, or until the context ends.
+func waitBeforeRetry(ctx context.Context, attempt int) error {
 	const step = 50 * time.Millisecond
-	t := time.NewTimer(step * time.Duration(try+1))
+	t := time.NewTimer(step * time.Duration(attempt+1))
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
@@ -161,13 +161,13 @@
 }
 
 // Undo returns the edit that takes back all changes after a version.
-func (k *Keeper) Undo(ctx context.Context, version int) (Edit, error) {
-	changes, err := k.History(ctx, version, recentChanges+1)
+func (s *Syncer) Undo(ctx context.Context, version int) (Edit, error) {
+	changes, err := s.History(ctx, version, maxRecentChanges+1)
 	if err != nil {
 		return nil, err
 	}
-	if len(changes) > recentChanges {
-		return nil, trace.LimitExceeded("a rollback takes back at most %d changes", recentChanges)
+	if len(changes) > maxRecentChanges {
+		return nil, trace.LimitExceeded("a rollback takes back at most %d changes", maxRecentChanges)
 	}
 	if len(changes) == 0 || changes[0].Version != version+1 {
 		return nil, trace.NotFound("no change after version %d is known", version)
@@ -179,7 +179,7 @@
 		}
 		for i := len(changes) - 1; i >= 0; i-- {
 			for _, e := range changes[i].Before {
-				if err := c.put(e); err != nil {
+				if err := c.setEntity(e); err != nil {
 					return fmt.Errorf("take back version %d: %w", changes[i].Version, err)
 				}
 			}
--- a/internal/edge/held.go
+++ b/internal/edge/held.go
@@ -39,7 +39,7 @@
 	case len(words) != 2 || words[0] != "release":
 		http.Error(w, `want "duties", "evacuations", "held" or "release FINGERPRINT"`, http.StatusBadRequest)
 		return
-	case !config.TokenHas(header.Bearer(r.Header), e.settings.BootstrapTokenSha256):
+	case !config.TokenMatches(header.Bearer(r.Header), e.settings.BootstrapTokenSha256):
 		http.Error(w, "the token is not the operators'", http.StatusForbidden)
 		return
 	default:
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -44,7 +44,7 @@
 	table    *member.Table
 	members  *member.Service
 	store    *config.Store
-	keeper   *config.Keeper
+	keeper   *config.Syncer
 	journal  *journal.Journal
 	watcher  *engine.Watcher
 	direct   *sched.Direct
@@ -115,7 +115,7 @@
 	}
 	n.table = member.NewTable(now, self, member.Options{Heartbeat: ms(s.HeartbeatMs), Suspect: ms(s.SuspectMs), Observers: s.Observers})
 	n.store = config.NewStore()
-	n.keeper = config.NewKeeper(n.store, n.platform, n, log)
+	n.keeper = config.NewSyncer(n.store, n.platform, n, log)
 	n.members = member.NewService(n.table, n.client, n.store, n.keeper.Wake, n.seeds, log)
 	n.journal = journal.New()
 	n.watcher = engine.NewWatcher()
@@ -153,7 +153,7 @@
 	n.server.Handle(front.MethodRun, peer.Typed(n.front.AnswerRun))
 	n.server.Handle(claim.MethodClaims, peer.Typed(n.claims.AnswerClaims))
 	n.server.Handle(methodChanges, peer.Typed(func(_ context.Context, r *wire.ChangesRequest) (any, error) {
-		return n.keeper.Answer(r.After)
+		return n.keeper.ChangesReply(r.After)
 	}))
 	n.server.Handle(admin.MethodQuery, peer.Typed(func(_ context.Context, q *wire.QueryRequest) (any, error) {
 		return &wire.QueryReply{Rows: n.Rows(clock.Now(), q)}, nil
