--- a/internal/config/change.go
+++ b/internal/config/change.go
@@ -9,8 +9,8 @@
 	"github.com/gravitational/trace"
 )
 
-// Empty returns a configuration without parts. Its lists are there, as the schema
-// wants them.
+// Empty returns a configuration without entities. Its lists are empty rather than
+// nil, because the schema requires them.
 func Empty() *Config {
 	return &Config{Classes: []Class{}, Teams: []Team{}, Pools: []Pool{}, Engines: []Engine{}, Operators: []Operator{}}
 }
@@ -28,7 +28,7 @@
 	return out, nil
 }
 
-// Apply returns the configuration that a change makes of this one. The change
+// Apply returns a copy of the configuration with a change applied. The change
 // must carry the next version.
 func (c *Config) Apply(ch wire.Change) (*Config, error) {
 	if ch.Version != c.Version+1 {
@@ -47,7 +47,7 @@
 	return out, nil
 }
 
-// setEntity sets or deletes one part.
+// setEntity sets one entity, or deletes it if the body is nil.
 func (c *Config) setEntity(e wire.Entity) (err error) {
 	switch e.Kind {
 	case wire.EntityKindClass:
@@ -66,7 +66,7 @@
 	return err
 }
 
-// replace puts an entity into a list in the place of the one with its name.
+// replace sets or deletes the list item that has the entity's name.
 func replace[T any](list []T, e wire.Entity, name func(*T) string) ([]T, error) {
 	at := -1
 	for i := range list {
@@ -96,7 +96,8 @@
 	return list, nil
 }
 
-// entities lists the parts of a configuration.
+// entities returns the entities of a configuration by kind and name, and their
+// keys in order.
 func (c *Config) entities() (map[string]wire.Entity, []string, error) {
 	out := map[string]wire.Entity{}
 	var order []string
@@ -130,8 +131,8 @@
 	return out, order, trace.NewAggregate(errs...)
 }
 
-// Diff returns the parts that turn one configuration into another, and the
-// same parts as they were before.
+// Diff returns the entities that turn one configuration into another, and their
+// previous state.
 func Diff(from, to *Config) (after, before []wire.Entity, err error) {
 	old, oldOrder, err := from.entities()
 	if err != nil {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -23,23 +23,23 @@
 var now = time.Unix(1000, 0)
 
 type (
-	// faultyTable is a faultyTable in memory whose writes fail on command.
+	// faultyTable is an in-memory table with injected write faults.
 	faultyTable struct {
 		mu   sync.Mutex
 		rows map[string]kv.Row
-		// faults are what becomes of the next writes: "" for nothing, "lost" for an
-		// answer that is lost after the write, "dropped" for one that is lost before.
+		// faults are the faults of the next writes: "" for none, "lost" if the reply
+		// is lost after the write took effect, "dropped" if the write never arrives.
 		faults []string
 	}
 
-	// noPeers is no peers.
+	// noPeers is a Peers without any peer.
 	noPeers struct{}
 )
 
-// TestMain fixes the seed of the random checks, so that each run gives the same
-// verdict; -rapid.seed on the command line goes before it.
+// TestMain fixes the seed of the property tests, so that runs are repeatable;
+// -rapid.seed on the command line overrides it.
 func TestMain(m *testing.M) {
-	// Each check waits out some writes, so that a few dozen are enough.
+	// Each check waits for the backoff of retried writes, so only a few dozen run.
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "25"} {
 		if err := flag.Set(name, value); err != nil {
 			panic(err)
@@ -48,7 +48,7 @@
 	os.Exit(m.Run())
 }
 
-// Changes fails, as there are no peers.
+// Changes always fails.
 func (noPeers) Changes(context.Context, int) ([]*wire.ChangesReply, error) {
 	return nil, errors.New("no peers")
 }
@@ -74,7 +74,7 @@
 	return out[:min(limit, len(out))], nil
 }
 
-// Transact checks and writes rows, or fails as the next fault says.
+// Transact runs a transaction with the next injected fault.
 func (t *faultyTable) Transact(_ context.Context, txn kv.Txn) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -99,13 +99,13 @@
 	return nil
 }
 
-// newSyncer returns a newSyncer of a node on a table, and its store.
+// newSyncer returns the Syncer of a node that uses a table, and its store.
 func newSyncer(tab *faultyTable) (*config.Syncer, *config.Store) {
 	s := config.NewStore()
 	return config.NewSyncer(s, tab, noPeers{}, slog.New(slog.DiscardHandler)), s
 }
 
-// setWeight makes a change.
+// setWeight writes a change of a team's weight.
 func setWeight(k *config.Syncer, id string, weight int) (wire.Change, error) {
 	token := config.HashToken("t")
 	return k.Write(context.Background(), now, id, "op", "set", config.SetFields(wire.EntityKindTeam, "alfa", []config.Field{
@@ -113,9 +113,9 @@
 	}))
 }
 
-// TestChangesUnderFaults makes changes at two nodes with answers lost and writes
-// dropped, drawn at random: what was accepted is in the history once, under its
-// version; what was refused is not; and no store goes back.
+// TestChangesUnderFaults writes changes at two nodes with random lost replies and
+// dropped writes. Accepted changes must be in the history exactly once, under their
+// version, rejected ones not at all, and no store's version may decrease.
 func TestChangesUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tab := &faultyTable{rows: map[string]kv.Row{}}
@@ -156,7 +156,7 @@
 	k, _ := newSyncer(tab)
 	other, _ := newSyncer(tab)
 	_, err := k.Write(context.Background(), now, "mine", "op", "race", func(c *config.Config) error {
-		_, err := setWeight(other, "theirs", 3) // Another operator comes between.
+		_, err := setWeight(other, "theirs", 3) // A concurrent change by another operator.
 		return err
 	})
 	if !trace.IsCompareFailed(err) {
@@ -168,7 +168,7 @@
 	}
 }
 
-func TestUndoIsANewVersion(t *testing.T) {
+func TestUndoCreatesNewVersion(t *testing.T) {
 	tab := &faultyTable{rows: map[string]kv.Row{}}
 	k, s := newSyncer(tab)
 	for i := range 4 {
@@ -186,9 +186,9 @@
 	}
 }
 
-// TestStoreTakesOnlyNewer holds that old configurations and changes, whoever
-// brings them, do nothing, and that a gap is an error.
-func TestStoreTakesOnlyNewer(t *testing.T) {
+// TestStoreAcceptsOnlyNewerVersions checks that old configurations and changes have no
+// effect, whatever their source, and that a gap in the versions is an error.
+func TestStoreAcceptsOnlyNewerVersions(t *testing.T) {
 	s := config.NewStore()
 	for version, want := range map[int]bool{5: true, 4: false} {
 		if version == 4 {
@@ -215,7 +215,7 @@
 	}
 }
 
-func TestContradictionsAreRefused(t *testing.T) {
+func TestContradictionsAreRejected(t *testing.T) {
 	team := config.Team{Name: "a", TokenSha256: config.HashToken("a")}
 	for name, c := range map[string]*config.Config{
 		"team twice":     {Teams: []config.Team{team, team}},
--- a/internal/config/edit.go
+++ b/internal/config/edit.go
@@ -8,22 +8,22 @@
 	"github.com/gravitational/trace"
 )
 
-// Field is one field to set, and its new value as JSON.
+// Field is a field of an entity and its new value as JSON.
 type Field struct {
 	Name  string
 	Value json.RawMessage
 }
 
-// SetFields returns the edit that sets fields of one part, which is made if it
+// SetFields returns an edit that sets fields of one entity and creates it if it
 // does not exist.
 func SetFields(kind wire.EntityKind, name string, fields []Field) Edit {
 	return func(c *Config) error {
-		parts, _, err := c.entities()
+		entities, _, err := c.entities()
 		if err != nil {
 			return err
 		}
 		body := map[string]json.RawMessage{"name": json.RawMessage(fmt.Sprintf("%q", name))}
-		if have, ok := parts[string(kind)+"/"+name]; ok {
+		if have, ok := entities[string(kind)+"/"+name]; ok {
 			if err := json.Unmarshal(*have.Body, &body); err != nil {
 				return fmt.Errorf("decode %s %s: %w", kind, name, err)
 			}
@@ -40,21 +40,21 @@
 	}
 }
 
-// Delete returns the edit that deletes one part.
+// Delete returns an edit that deletes one entity.
 func Delete(kind wire.EntityKind, name string) Edit {
 	return func(c *Config) error {
-		parts, _, err := c.entities()
+		entities, _, err := c.entities()
 		if err != nil {
 			return err
 		}
-		if _, ok := parts[string(kind)+"/"+name]; !ok {
+		if _, ok := entities[string(kind)+"/"+name]; !ok {
 			return trace.NotFound("no %s %s", kind, name)
 		}
 		return c.setEntity(wire.Entity{Kind: kind, Name: name})
 	}
 }
 
-// SetEngineState returns the edit that drains an engine or takes it back.
+// SetEngineState returns an edit that drains an engine or reactivates it.
 func SetEngineState(name string, state EngineState) Edit {
 	return func(c *Config) error {
 		e, err := c.engine(name)
@@ -66,8 +66,8 @@
 	}
 }
 
-// SetOrder returns the edit that gives an engine an order. Its fence is the
-// version that the change makes.
+// SetOrder returns an edit that sets an engine's order. The fencing token is the
+// version that the change creates.
 func SetOrder(name, text string) Edit {
 	return func(c *Config) error {
 		e, err := c.engine(name)
@@ -89,8 +89,8 @@
 	return nil, trace.NotFound("no engine %s", name)
 }
 
-// ReplaceAll returns the edit that puts another configuration in the place of
-// the present one.
+// ReplaceAll returns an edit that replaces the whole configuration except its
+// version.
 func ReplaceAll(next *Config) Edit {
 	return func(c *Config) error {
 		version := c.Version
--- a/internal/config/keeper.go
+++ b/internal/config/keeper.go
@@ -15,22 +15,22 @@
 
 const (
 	// HeadKey is the row that each accepted change writes: a transaction that
-	// checks its version holds only while no other change is accepted.
+	// checks its version fails if another change was accepted in between.
 	HeadKey = "config/head"
 
 	fullKey      = "config/full"
 	changePrefix = "config/change/"
 
-	// maxFetchedChanges bounds how many changes are read at once; beyond it the whole
-	// configuration is read instead.
+	// maxFetchedChanges bounds how many changes are read at once; a node that is
+	// further behind reads the whole configuration.
 	maxFetchedChanges = 64
 
-	// maxWriteAttempts bounds how often one uncertain write is tried and read back.
+	// maxWriteAttempts bounds how often a write with an unknown outcome is retried.
 	maxWriteAttempts = 8
 )
 
 type (
-	// Table is what the keeper needs of the platform.
+	// Table is the part of the platform's store that a Syncer uses.
 	Table interface {
 		Get(ctx context.Context, key string) (kv.Row, error)
 		List(ctx context.Context, prefix, after string, limit int) ([]kv.Row, error)
@@ -42,7 +42,7 @@
 		Changes(ctx context.Context, after int) ([]*wire.ChangesReply, error)
 	}
 
-	// Syncer reads the configuration from the platform and from peers into a
+	// Syncer reads the configuration from the platform or from peers into a
 	// Store, and writes accepted changes to the platform.
 	Syncer struct {
 		store *Store
@@ -52,31 +52,31 @@
 		wake  chan struct{}
 	}
 
-	// head is the small row that every node polls.
+	// head is the value of the HeadKey row, which every node polls.
 	head struct {
 		Version int    `json:"version"`
 		Change  string `json:"change"`
 	}
 
-	// Edit makes a change out of the configuration in force: it alters the copy
-	// it is given.
+	// Edit modifies a copy of the configuration in place; the difference becomes
+	// a change.
 	Edit func(c *Config) error
 )
 
-// NewSyncer returns a keeper that fills a store.
+// NewSyncer returns a Syncer that updates a store.
 func NewSyncer(store *Store, table Table, peers Peers, log *slog.Logger) *Syncer {
 	return &Syncer{store: store, table: table, peers: peers, log: log, wake: make(chan struct{}, 1)}
 }
 
-// Run keeps the store up to date until the context ends. It polls the head row
-// each interval, and asks peers at once when Wake is called.
+// Run keeps the store up to date until the context is done. It polls the head row
+// at each interval, and asks peers immediately when Wake is called.
 func (s *Syncer) Run(ctx context.Context, interval time.Duration) {
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	refresh := s.Refresh
 	for {
 		if err := refresh(ctx); err != nil && ctx.Err() == nil {
-			s.log.Warn("configuration not refreshed", "error", err.Error())
+			s.log.Warn("configuration refresh failed", "error", err.Error())
 		}
 		select {
 		case <-ctx.Done():
@@ -89,7 +89,7 @@
 	}
 }
 
-// Wake makes Run ask at once, such as when a peer has a newer version.
+// Wake makes Run ask peers immediately, for example when a peer has a newer version.
 func (s *Syncer) Wake() {
 	select {
 	case s.wake <- struct{}{}:
@@ -97,8 +97,8 @@
 	}
 }
 
-// Refresh brings the store up to the newest version that the platform knows, or
-// where it can't be asked, the peers. It fails where neither can.
+// Refresh updates the store from the platform, or from peers if the platform is
+// unreachable. It fails if both fail.
 func (s *Syncer) Refresh(ctx context.Context) error {
 	tableErr := s.pullFromPlatform(ctx)
 	if tableErr == nil {
@@ -111,8 +111,8 @@
 	return fmt.Errorf("refresh configuration: %w", trace.NewAggregate(tableErr, peerErr))
 }
 
-// catchUp takes a newer version from peers, and only where that brings nothing
-// from the platform, which all nodes would ask at the same time.
+// catchUp asks peers for a newer version and falls back to the platform only if
+// they have none, because all nodes would query the platform at the same time.
 func (s *Syncer) catchUp(ctx context.Context) error {
 	before := s.store.Version()
 	if err := s.pullFromPeers(ctx); err == nil && s.store.Version() > before {
@@ -121,7 +121,7 @@
 	return s.Refresh(ctx)
 }
 
-// pullFromPeers takes what peers know.
+// pullFromPeers applies newer changes and configurations from peers.
 func (s *Syncer) pullFromPeers(ctx context.Context) error {
 	replies, err := s.peers.Changes(ctx, s.store.Version())
 	if err != nil {
@@ -135,7 +135,7 @@
 	return nil
 }
 
-// ApplyReply puts a peer's answer into force where it is newer.
+// ApplyReply applies a peer's reply if it is newer than the store.
 func (s *Syncer) ApplyReply(r *wire.ChangesReply) error {
 	if r.Config == nil {
 		if len(r.Changes) == 0 {
@@ -151,7 +151,8 @@
 	return err
 }
 
-// ChangesReply returns what this node knows after a version, for a peer.
+// ChangesReply returns the changes after a version for a peer, or the whole
+// configuration if not all of these changes are kept.
 func (s *Syncer) ChangesReply(after int) (*wire.ChangesReply, error) {
 	view := s.store.View()
 	if view == nil {
@@ -172,7 +173,8 @@
 	return reply, nil
 }
 
-// pullFromPlatform reads the head row and what it says is newer.
+// pullFromPlatform reads the head row and, if it is newer, the changes or the
+// whole configuration.
 func (s *Syncer) pullFromPlatform(ctx context.Context) error {
 	h, _, err := s.readHead(ctx)
 	if err != nil {
@@ -198,7 +200,7 @@
 	return nil
 }
 
-// readHead reads the readHead row and its row version.
+// readHead reads the head row and returns its row version too.
 func (s *Syncer) readHead(ctx context.Context) (head, int, error) {
 	row, err := s.table.Get(ctx, HeadKey)
 	if err != nil {
@@ -208,7 +210,7 @@
 	return h, row.Version, err
 }
 
-// decodeHead reads the head row; an absent one is version 0.
+// decodeHead decodes the head row; a missing row means version 0.
 func decodeHead(row kv.Row) (head, error) {
 	var h head
 	if row.Version == 0 {
@@ -220,13 +222,14 @@
 	return h, nil
 }
 
-// HeadVersion returns the version that the head row names.
+// HeadVersion returns the configuration version in the head row.
 func HeadVersion(row kv.Row) (int, error) {
 	h, err := decodeHead(row)
 	return h.Version, err
 }
 
-// readConfig reads the whole configuration; an absent one is empty, at version 0.
+// readConfig reads the whole configuration; a missing row means an empty one at
+// version 0.
 func (s *Syncer) readConfig(ctx context.Context) (*Config, error) {
 	row, err := s.table.Get(ctx, fullKey)
 	if err != nil {
@@ -259,8 +262,8 @@
 	return out, nil
 }
 
-// changeKey returns the key of the change that made a version; keys sort like
-// versions.
+// changeKey returns the key of the change that created a version; it is padded
+// with zeros so that keys sort by version.
 func changeKey(version int) string {
 	digits := strconv.Itoa(version)
 	const width = 12
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -8,10 +8,10 @@
 	"github.com/gravitational/trace"
 )
 
-// maxRecentChanges is how many changes a node keeps to hand on to peers.
+// maxRecentChanges is how many changes a node keeps for peers that are behind.
 const maxRecentChanges = 256
 
-// Store holds the configuration in force at this node. Its version only grows.
+// Store holds the configuration in effect at this node. Its version never decreases.
 type Store struct {
 	mu      sync.Mutex
 	view    *View
@@ -22,14 +22,14 @@
 // NewStore returns a store without a configuration.
 func NewStore() *Store { return &Store{changed: make(chan struct{})} }
 
-// View returns the configuration in force, or nil before the first is known.
+// View returns the configuration in effect, or nil before the first is loaded.
 func (s *Store) View() *View {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.view
 }
 
-// Version returns the version in force, or 0 before the first is known.
+// Version returns the version in effect, or 0 before the first is loaded.
 func (s *Store) Version() int {
 	v := s.View()
 	if v == nil {
@@ -38,14 +38,15 @@
 	return v.Config.Version
 }
 
-// Changed returns a channel that is closed when a newer version comes into force.
+// Changed returns a channel that is closed when a newer version takes effect.
 func (s *Store) Changed() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changed
 }
 
-// Replace takes a whole configuration if it is newer than the one in force.
+// Replace installs a whole configuration if it is newer than the one in effect,
+// and reports whether it did.
 func (s *Store) Replace(c *Config) (bool, error) {
 	v, err := NewView(c)
 	if err != nil {
@@ -61,8 +62,8 @@
 	return true, nil
 }
 
-// Apply takes changes in order; those already in force are passed over. It
-// fails where a change between is missing.
+// Apply applies changes in order and skips those already in effect. It fails
+// if there is a gap in the versions.
 func (s *Store) Apply(changes []wire.Change) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,14 +91,15 @@
 	return nil
 }
 
-// install puts a view into force; the caller holds the lock.
+// install makes a view the one in effect; the caller must hold s.mu.
 func (s *Store) install(v *View) {
 	s.view = v
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// ChangesAfter returns the changes after a version, or false where not all are known.
+// ChangesAfter returns the changes after a version, or false if not all of
+// them are kept.
 func (s *Store) ChangesAfter(version int) ([]wire.Change, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/config/view.go
+++ b/internal/config/view.go
@@ -1,6 +1,6 @@
-// Package config holds the system's configuration: the record that the
-// platform keeps, a view of it that is quick to ask, and the store and the
-// loops that bring each accepted change into force at this node.
+// Package config manages the system's configuration: the record stored by the
+// platform, an indexed view of it, and the store and the sync loop that bring
+// each accepted change into effect at this node.
 package config
 
 import (
@@ -16,23 +16,23 @@
 )
 
 const (
-	// defaultQueueLimit is a pool's queue limit where none is configured.
+	// defaultQueueLimit is a pool's queue limit if none is configured.
 	defaultQueueLimit = 1000
 
-	// attainmentMargin is the reserve margin of the profile attainment; that of
-	// the profile goodput keeps nothing free.
+	// attainmentMargin and goodputMargin are the reserve margins of the profiles
+	// attainment and goodput; a negative margin reserves nothing.
 	attainmentMargin = 2
 	goodputMargin    = -1
 
-	// defaultMaxWaitMs is a class's longest wait where none is configured.
+	// defaultMaxWaitMs is a class's maximum wait if none is configured.
 	defaultMaxWaitMs = 60000
 )
 
-// configSchema returns the schema's configSchema form, made when it is first needed.
+// configSchema returns the compiled schema; it is compiled on first use.
 var configSchema = sync.OnceValue(func() *check.Schema { return check.MustCompile(schema.Config) })
 
-// View is a configuration with its indexes. It is never changed after it was
-// made, so that any goroutine may read it.
+// View is a configuration with its indexes. It is immutable, so that any
+// goroutine may read it.
 type View struct {
 	Config *Config
 
@@ -46,7 +46,7 @@
 	operators map[string]*Operator
 }
 
-// Parse checks the text of a configuration, in JSON with comments.
+// Parse validates and decodes a configuration in JSON with comments.
 func Parse(name string, text []byte) (*Config, error) {
 	plain, err := configSchema().Read(name, text)
 	if err != nil {
@@ -59,9 +59,9 @@
 	return c, nil
 }
 
-// NewView indexes a configuration, and fails where its parts contradict each
-// other. It fills in the defaults, so that the configuration belongs to the view
-// from then on.
+// NewView indexes a configuration and fails if its entities contradict each
+// other. It fills in the defaults in place; the view owns the configuration from
+// then on.
 func NewView(c *Config) (*View, error) {
 	v := &View{
 		Config:    c,
@@ -83,7 +83,7 @@
 	return v, nil
 }
 
-// indexClasses fills in classes and checks their shares.
+// indexClasses indexes the classes and checks the sum of their shares.
 func (v *View) indexClasses() error {
 	var shares float64
 	for i := range v.Config.Classes {
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// indexTeams fills in teams and checks their classes.
+// indexTeams indexes the teams and checks their default classes.
 func (v *View) indexTeams() error {
 	for i := range v.Config.Teams {
 		t := &v.Config.Teams[i]
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// indexPools fills in pools and models.
+// indexPools indexes the pools and their models.
 func (v *View) indexPools() error {
 	for i := range v.Config.Pools {
 		p := &v.Config.Pools[i]
@@ -152,7 +152,7 @@
 	return nil
 }
 
-// indexEngines fills in engines and their pools.
+// indexEngines indexes the engines and checks their pools.
 func (v *View) indexEngines() error {
 	for i := range v.Config.Engines {
 		e := &v.Config.Engines[i]
@@ -171,7 +171,7 @@
 	return nil
 }
 
-// indexOperators fills in operators by their tokens.
+// indexOperators indexes the operators by token hash.
 func (v *View) indexOperators() error {
 	for i := range v.Config.Operators {
 		o := &v.Config.Operators[i]
@@ -183,7 +183,7 @@
 	return nil
 }
 
-// ContradictionError says which part of a configuration contradicts another.
+// ContradictionError names an entity that contradicts another.
 type ContradictionError struct {
 	Kind, Name, Message string
 }
@@ -193,21 +193,21 @@
 	return fmt.Sprintf("%s %s: %s", e.Kind, e.Name, e.Message)
 }
 
-// HashToken returns a bearer token's hex SHA-256, as configurations hold it.
+// HashToken returns the hex SHA-256 of a bearer token, as stored in configurations.
 func HashToken(token string) string {
 	sum := sha256.Sum256([]byte(token))
 	return hex.EncodeToString(sum[:])
 }
 
-// TokenMatches reports whether a token has a hash, as HashToken returns it; none has an empty one.
+// TokenMatches reports whether a token has the given hash; no token matches an empty hash.
 func TokenMatches(token, hash string) bool {
 	return hash != "" && subtle.ConstantTimeCompare([]byte(HashToken(token)), []byte(hash)) == 1
 }
 
-// TeamByToken returns the team that a bearer token proves, or nil.
+// TeamByToken returns the team authenticated by a bearer token, or nil.
 func (v *View) TeamByToken(token string) *Team { return v.tokens[HashToken(token)] }
 
-// OperatorByToken returns the operator that a bearer token proves, or nil.
+// OperatorByToken returns the operator authenticated by a bearer token, or nil.
 func (v *View) OperatorByToken(token string) *Operator { return v.operators[HashToken(token)] }
 
 // Class returns a class by name, or nil.
@@ -228,7 +228,7 @@
 // Engines returns a pool's engines; the caller must not change the slice.
 func (v *View) Engines(pool string) []*Engine { return v.byPool[pool] }
 
-// Models returns the names of all models in order.
+// Models returns the names of all models, sorted.
 func (v *View) Models() []string {
 	out := make([]string, 0, len(v.models))
 	for m := range v.models {
--- a/internal/config/writer.go
+++ b/internal/config/writer.go
@@ -13,11 +13,11 @@
 	"github.com/gravitational/trace"
 )
 
-// Write makes an edit of the newest configuration an accepted change. It
-// returns only when that is certain: a nil error means accepted and in force at
-// this node. trace.CompareFailed means that another operator's change came
-// between and nothing was written; ErrUncertain means that the platform could
-// not be asked in time, and the history will tell by the change's id.
+// Write applies an edit to the newest configuration and stores it as a change. A
+// nil error means that the change is accepted and in effect at this node;
+// trace.CompareFailed that a concurrent change was accepted first and nothing was
+// written; kv.ErrUncertain that the outcome could not be read from the platform in
+// time, and the history shows it by the change's id.
 func (s *Syncer) Write(ctx context.Context, now time.Time, id, author, statement string, edit Edit) (wire.Change, error) {
 	h, rowVersion, err := s.readHead(ctx)
 	if err != nil {
@@ -50,12 +50,12 @@
 	return ch, nil
 }
 
-// pendingTxn is a transaction whose change row is not yet filled in.
+// pendingTxn is a transaction without the rows of the change and the head.
 type pendingTxn struct {
 	kv.Txn
 }
 
-// prepareTxn builds the change and the transaction that an edit asks for.
+// prepareTxn builds the change and the transaction for an edit.
 func prepareTxn(base *Config, rowVersion int, edit Edit) (wire.Change, *pendingTxn, error) {
 	next, err := base.Clone()
 	if err != nil {
@@ -72,7 +72,7 @@
 	if _, err := configSchema().Read("configuration", text); err != nil {
 		return wire.Change{}, nil, trace.BadParameter("%v", err)
 	}
-	// The difference is taken before NewView fills in the defaults.
+	// Diff must run before NewView fills in the defaults.
 	after, before, err := Diff(base, next)
 	if err != nil {
 		return wire.Change{}, nil, err
@@ -86,7 +86,7 @@
 	return wire.Change{Version: next.Version, Entities: after, Before: before}, txn, nil
 }
 
-// addChangeRows adds the rows of the change and of the head.
+// addChangeRows adds the rows of the change and the head.
 func (p *pendingTxn) addChangeRows(ch wire.Change) error {
 	text, err := json.Marshal(ch)
 	if err != nil {
@@ -100,9 +100,9 @@
 	return nil
 }
 
-// commit sends the transaction until it is known whether it took effect. An
-// uncertain write is sent again: the check on the head row lets at most one of
-// the copies through, and the id of the change tells whether it was ours.
+// commit retries the transaction until its outcome is known. A write with an
+// unknown outcome is sent again: the check on the head row lets at most one copy
+// succeed, and the change's id shows whether it was this one.
 func (s *Syncer) commit(ctx context.Context, ch wire.Change, txn kv.Txn) error {
 	uncertain := false
 	for attempt := 0; attempt < maxWriteAttempts; attempt++ {
@@ -131,7 +131,7 @@
 	return fmt.Errorf("change %s: %w", ch.ID, kv.ErrUncertain)
 }
 
-// isAccepted reports whether the change that made a version is this one.
+// isAccepted reports whether the change stored under this version is ch.
 func (s *Syncer) isAccepted(ctx context.Context, ch wire.Change) (bool, error) {
 	row, err := s.table.Get(ctx, changeKey(ch.Version))
 	if err != nil {
@@ -147,7 +147,7 @@
 	return got.ID == ch.ID, nil
 }
 
-// waitBeforeRetry waits longer after each try, or until the context ends.
+// waitBeforeRetry waits with linear backoff, or until the context is done.
 func waitBeforeRetry(ctx context.Context, attempt int) error {
 	const step = 50 * time.Millisecond
 	t := time.NewTimer(step * time.Duration(attempt+1))
@@ -160,7 +160,7 @@
 	}
 }
 
-// Undo returns the edit that takes back all changes after a version.
+// Undo returns an edit that reverts all changes after a version.
 func (s *Syncer) Undo(ctx context.Context, version int) (Edit, error) {
 	changes, err := s.History(ctx, version, maxRecentChanges+1)
 	if err != nil {
