--- a/internal/front/entry.go
+++ b/internal/front/entry.go
@@ -37,7 +37,7 @@
 	}
 	doc.EntryPoints = []entryPoint{}
 	// The address with its port tells callers of one team apart.
-	for _, name := range member.Top("entry/"+team.Name+"/"+r.RemoteAddr, names, entryPointsMost) {
+	for _, name := range member.TopRanked("entry/"+team.Name+"/"+r.RemoteAddr, names, entryPointsMost) {
 		doc.EntryPoints = append(doc.EntryPoints, entryPoint{Address: nodes[name].CallerAddress, Hall: nodes[name].Hall})
 	}
 	doc.KeepMs = f.limits.EntryKeep.Milliseconds()
--- a/internal/member/observe.go
+++ b/internal/member/observe.go
@@ -6,72 +6,72 @@
 	"github.com/croftturn/croftturn/internal/wire"
 )
 
-// Heard notes that a heartbeat of a member came.
-func (t *Table) Heard(now time.Time, name string, incarnation int) {
+// RecordHeartbeat notes that a heartbeat of a member came.
+func (t *Table) RecordHeartbeat(now time.Time, name string, incarnation int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entries[name]
 	if e == nil || e.Incarnation != incarnation {
 		return
 	}
-	e.heard = now
+	e.lastHeartbeat = now
 }
 
-// Observe looks for members that this node watches and misses, and forgets old
+// DetectFailures looks for members that this node watches and misses, and forgets old
 // tombstones. It returns whether anything changed.
-func (t *Table) Observe(now time.Time) bool {
+func (t *Table) DetectFailures(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	before := t.changed
-	if t.moved {
-		t.rewatch(now)
+	if t.watchStale {
+		t.updateWatched(now)
 	}
 	for name, e := range t.entries {
 		switch {
 		case name == t.self.Name:
 		case e.State == wire.MemberStateD:
-			if now.Sub(e.changed) > tombstoneLife {
+			if now.Sub(e.lastChange) > tombstoneTTL {
 				delete(t.entries, name)
 				t.hash = 0
 			}
-		case e.watched && now.Sub(e.heard) > t.opts.Suspect:
-			t.miss(now, e)
+		case e.watched && now.Sub(e.lastHeartbeat) > t.opts.Suspect:
+			t.recordMiss(now, e)
 		}
 	}
 	return t.changed != before
 }
 
-// rewatch finds out which members this node watches, after some came or went. A
+// updateWatched finds out which members this node watches, after some came or went. A
 // member that it has only now begun to watch gets two thirds of its time: long
 // enough for two heartbeats, and not so long that a member whose observers all
 // died with it is missed late.
-func (t *Table) rewatch(now time.Time) {
-	t.moved = false
+func (t *Table) updateWatched(now time.Time) {
+	t.watchStale = false
 	for name, e := range t.entries {
 		watching := name != t.self.Name && contains(t.observers(name), t.self.Name)
 		if watching && !e.watched {
-			e.heard = now.Add(-t.opts.Suspect / 3)
+			e.lastHeartbeat = now.Add(-t.opts.Suspect / 3)
 		}
 		e.watched = watching
 	}
 }
 
-// miss notes that no heartbeat of a member came for too long.
-func (t *Table) miss(now time.Time, e *entry) {
+// recordMiss notes that no heartbeat of a member came for too long.
+func (t *Table) recordMiss(now time.Time, e *entry) {
 	if !contains(e.SuspectedBy, t.self.Name) {
 		next := e.Member
 		if next.State == wire.MemberStateA || next.State == wire.MemberStateL {
 			next.State = wire.MemberStateS
 		}
 		next.SuspectedBy = append(append([]string(nil), e.SuspectedBy...), t.self.Name)
-		t.set(now, next)
+		t.store(now, next)
 	}
-	t.decide(now, e)
+	t.declareIfDead(now, e)
 }
 
-// decide declares a suspect dead when most of its observers miss it. Observers
+// declareIfDead declares a suspect dead when most of its observers miss it. Observers
 // that are suspect themselves have no vote.
-func (t *Table) decide(now time.Time, e *entry) {
+func (t *Table) declareIfDead(now time.Time, e *entry) {
 	if e.State != wire.MemberStateS {
 		return
 	}
@@ -89,7 +89,7 @@
 	if voters > 0 && votes > voters/2 {
 		next := e.Member
 		next.State = wire.MemberStateD
-		t.set(now, next)
+		t.store(now, next)
 	}
 }
 
@@ -101,7 +101,7 @@
 			candidates = append(candidates, n)
 		}
 	}
-	return Top(name, candidates, t.opts.Observers)
+	return TopRanked(name, candidates, t.opts.Observers)
 }
 
 // Targets returns the members to which this node sends heartbeats.
--- a/internal/member/owner.go
+++ b/internal/member/owner.go
@@ -12,27 +12,27 @@
 func (t *Table) Owner(key string) (wire.Member, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var alive, doubted []string
+	var alive, suspected []string
 	for n, e := range t.entries {
 		switch e.State {
 		case wire.MemberStateA:
 			alive = append(alive, n)
 		case wire.MemberStateS:
-			doubted = append(doubted, n)
+			suspected = append(suspected, n)
 		}
 	}
 	if len(alive) == 0 {
-		alive = doubted
+		alive = suspected
 	}
-	top := Top(key, alive, 1)
+	top := TopRanked(key, alive, 1)
 	if len(top) == 0 {
 		return wire.Member{}, false
 	}
 	return t.entries[top[0]].Member, true
 }
 
-// Top returns the n names that rank first for a key by rendezvous hashing.
-func Top(key string, names []string, n int) []string {
+// TopRanked returns the n names that rank first for a key by rendezvous hashing.
+func TopRanked(key string, names []string, n int) []string {
 	type scored struct {
 		name  string
 		score uint64
--- a/internal/member/service.go
+++ b/internal/member/service.go
@@ -14,11 +14,11 @@
 	// MethodHeartbeat is the peers' method that takes a Heartbeat.
 	MethodHeartbeat = "hb"
 
-	// kickDelay gathers changes before they are sent ahead of the next heartbeat.
-	kickDelay = 20 * time.Millisecond
+	// debounceDelay gathers changes before they are sent ahead of the next heartbeat.
+	debounceDelay = 20 * time.Millisecond
 
-	// repairEvery bounds how often one node sends its whole table.
-	repairEvery = 2 * time.Second
+	// fullSyncInterval bounds how often one node sends its whole table.
+	fullSyncInterval = 2 * time.Second
 )
 
 type (
@@ -37,24 +37,24 @@
 		table    *Table
 		caller   Caller
 		versions Versions
-		newer    func() // newer is called when a peer has a newer configuration.
+		onNewerConfig    func() // newer is called when a peer has a newer configuration.
 		seeds    func(ctx context.Context) []string
 		log      *slog.Logger
 		now      func() time.Time
-		kick     chan struct{}
+		sendNow     chan struct{}
 		wg       sync.WaitGroup
 
 		mu       sync.Mutex
-		repaired time.Time
+		lastFullSync time.Time
 	}
 )
 
 // NewService returns a service on a table. newer is called when a peer has a
 // newer configuration; seeds lists peer addresses to ask while nobody is known.
-func NewService(table *Table, caller Caller, versions Versions, newer func(), seeds func(ctx context.Context) []string, log *slog.Logger) *Service {
+func NewService(table *Table, caller Caller, versions Versions, onNewerConfig func(), seeds func(ctx context.Context) []string, log *slog.Logger) *Service {
 	return &Service{
-		table: table, caller: caller, versions: versions, newer: newer, seeds: seeds, log: log,
-		now: clock.Now, kick: make(chan struct{}, 1),
+		table: table, caller: caller, versions: versions, onNewerConfig: onNewerConfig, seeds: seeds, log: log,
+		now: clock.Now, sendNow: make(chan struct{}, 1),
 	}
 }
 
@@ -66,30 +66,30 @@
 	for {
 		changed := s.table.Changed()
 		now := s.now()
-		s.table.Observe(now)
-		s.beat(ctx, now)
+		s.table.DetectFailures(now)
+		s.sendHeartbeats(ctx, now)
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
 		case <-changed:
-			s.settle(ctx)
-		case <-s.kick:
+			s.debounce(ctx)
+		case <-s.sendNow:
 		}
 	}
 }
 
-// Kick sends heartbeats at once, such as after a change of configuration.
-func (s *Service) Kick() {
+// SendNow sends heartbeats at once, such as after a change of configuration.
+func (s *Service) SendNow() {
 	select {
-	case s.kick <- struct{}{}:
+	case s.sendNow <- struct{}{}:
 	default:
 	}
 }
 
-// settle waits a moment, so that changes which come together go out together.
-func (s *Service) settle(ctx context.Context) {
-	t := time.NewTimer(kickDelay)
+// debounce waits a moment, so that changes which come together go out together.
+func (s *Service) debounce(ctx context.Context) {
+	t := time.NewTimer(debounceDelay)
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
@@ -97,12 +97,12 @@
 	}
 }
 
-// beat sends one heartbeat to each observer, or to the seeds while alone.
-func (s *Service) beat(ctx context.Context, now time.Time) {
+// sendHeartbeats sends one heartbeat to each observer, or to the seeds while alone.
+func (s *Service) sendHeartbeats(ctx context.Context, now time.Time) {
 	self := s.table.Self()
 	hb := &wire.Heartbeat{
 		From: self.Name, Incarnation: self.Incarnation, ConfigVersion: s.versions.Version(),
-		Members: s.table.News(now), TableHash: s.table.Hash(),
+		Members: s.table.RecentChanges(now), TableHash: s.table.Hash(),
 	}
 	targets := s.table.Targets()
 	if len(targets) == 0 {
@@ -112,7 +112,7 @@
 			defer s.wg.Done()
 			for _, address := range s.seeds(ctx) {
 				if address != self.PeerAddress {
-					s.send(ctx, address, hb)
+					s.sendHeartbeat(ctx, address, hb)
 				}
 			}
 		}()
@@ -122,13 +122,13 @@
 		s.wg.Add(1)
 		go func() {
 			defer s.wg.Done()
-			s.send(ctx, m.PeerAddress, hb)
+			s.sendHeartbeat(ctx, m.PeerAddress, hb)
 		}()
 	}
 }
 
-// send sends a heartbeat and takes the news of its answer.
-func (s *Service) send(ctx context.Context, address string, hb *wire.Heartbeat) {
+// sendHeartbeat sends a heartbeat and takes the news of its answer.
+func (s *Service) sendHeartbeat(ctx context.Context, address string, hb *wire.Heartbeat) {
 	ctx, cancel := context.WithTimeout(ctx, s.table.opts.Suspect)
 	defer cancel()
 	reply := &wire.HeartbeatReply{}
@@ -140,48 +140,48 @@
 	s.compareVersion(reply.ConfigVersion)
 }
 
-// Answer takes a heartbeat and returns this node's news; it is the handler of
+// HandleHeartbeat takes a heartbeat and returns this node's news; it is the handler of
 // MethodHeartbeat.
-func (s *Service) Answer(_ context.Context, hb *wire.Heartbeat) (any, error) {
+func (s *Service) HandleHeartbeat(_ context.Context, hb *wire.Heartbeat) (any, error) {
 	now := s.now()
 	s.table.Merge(now, hb.Members)
-	s.table.Heard(now, hb.From, hb.Incarnation)
+	s.table.RecordHeartbeat(now, hb.From, hb.Incarnation)
 	s.compareVersion(hb.ConfigVersion)
 	reply := &wire.HeartbeatReply{ConfigVersion: s.versions.Version()}
-	reply.Members = s.news(now, hb)
+	reply.Members = s.replyMembers(now, hb)
 	return reply, nil
 }
 
-// news returns what the sender of a heartbeat should know: the latest changes,
+// replyMembers returns what the sender of a heartbeat should know: the latest changes,
 // or the whole table where the sender is unknown, thought dead, or differs.
-func (s *Service) news(now time.Time, hb *wire.Heartbeat) []wire.Member {
+func (s *Service) replyMembers(now time.Time, hb *wire.Heartbeat) []wire.Member {
 	m, known := s.table.Member(hb.From)
-	stranger := !known || m.State == wire.MemberStateD || m.State == wire.MemberStateS
+	unknownOrSuspect := !known || m.State == wire.MemberStateD || m.State == wire.MemberStateS
 	differs := hb.TableHash != s.table.Hash()
-	if stranger || s.table.Len() <= 1 || (differs && s.mayRepair(now)) {
+	if unknownOrSuspect || s.table.Len() <= 1 || (differs && s.allowFullSync(now)) {
 		return s.table.All()
 	}
 	var out []wire.Member
 	if differs {
-		out = s.table.News(now)
+		out = s.table.RecentChanges(now)
 	}
 	return out
 }
 
-// mayRepair reports whether the whole table may be sent now.
-func (s *Service) mayRepair(now time.Time) bool {
+// allowFullSync reports whether the whole table may be sent now.
+func (s *Service) allowFullSync(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if now.Sub(s.repaired) < repairEvery {
+	if now.Sub(s.lastFullSync) < fullSyncInterval {
 		return false
 	}
-	s.repaired = now
+	s.lastFullSync = now
 	return true
 }
 
 // compareVersion reports a newer configuration of a peer.
 func (s *Service) compareVersion(version int) {
 	if version > s.versions.Version() {
-		s.newer()
+		s.onNewerConfig()
 	}
 }
--- a/internal/member/table.go
+++ b/internal/member/table.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	// tombstoneLife is how long a dead member is remembered, so that late news
+	// tombstoneTTL is how long a dead member is remembered, so that late news
 	// of it does not bring it back.
-	tombstoneLife = time.Minute
+	tombstoneTTL = time.Minute
 
-	// newsLife is how many heartbeats a change rides on.
-	newsLife = 5
+	// changeRounds is how many heartbeats a change rides on.
+	changeRounds = 5
 )
 
 type (
@@ -33,8 +33,8 @@
 	// entry is one member with what this node observed of it.
 	entry struct {
 		wire.Member
-		changed time.Time // changed is when this node last learned something new.
-		heard   time.Time // heard is when a heartbeat last came, or when watching began.
+		lastChange time.Time // changed is when this node last learned something new.
+		lastHeartbeat   time.Time // heard is when a heartbeat last came, or when watching began.
 		watched bool      // watched says that this node is one of its observers.
 	}
 
@@ -47,7 +47,7 @@
 		self    wire.Member
 		entries map[string]*entry
 		changed chan struct{}
-		moved   bool // moved says that members came or went since rewatch.
+		watchStale   bool // moved says that members came or went since rewatch.
 		hash    int  // hash is the digest of the table; 0 where it is to be worked out.
 	}
 )
@@ -56,7 +56,7 @@
 func NewTable(now time.Time, self wire.Member, opts Options) *Table {
 	self.State = wire.MemberStateA
 	t := &Table{opts: opts, self: self, entries: map[string]*entry{}, changed: make(chan struct{})}
-	t.entries[self.Name] = &entry{Member: self, changed: now, heard: now}
+	t.entries[self.Name] = &entry{Member: self, lastChange: now, lastHeartbeat: now}
 	return t
 }
 
@@ -79,46 +79,46 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.self.State = wire.MemberStateL
-	t.speak(now)
+	t.raiseRevision(now)
 }
 
-// speak raises the revision of what this node says of itself.
-func (t *Table) speak(now time.Time) {
+// raiseRevision raises the revision of what this node says of itself.
+func (t *Table) raiseRevision(now time.Time) {
 	t.self.Revision++
 	t.self.SuspectedBy = nil
-	t.set(now, t.self)
+	t.store(now, t.self)
 }
 
-// set stores a member and tells those who wait for changes.
-func (t *Table) set(now time.Time, m wire.Member) {
+// store stores a member and tells those who wait for changes.
+func (t *Table) store(now time.Time, m wire.Member) {
 	e := t.entries[m.Name]
 	if e == nil {
-		e = &entry{heard: now}
+		e = &entry{lastHeartbeat: now}
 		t.entries[m.Name] = e
-		t.moved = true
+		t.watchStale = true
 	}
 	if (e.State == wire.MemberStateD) != (m.State == wire.MemberStateD) {
-		e.heard = now
-		t.moved = true
+		e.lastHeartbeat = now
+		t.watchStale = true
 	}
 	e.Member = m
-	e.changed = now
+	e.lastChange = now
 	t.hash = 0
 	close(t.changed)
 	t.changed = make(chan struct{})
 }
 
 // Merge takes news of members and returns whether any of it was new.
-func (t *Table) Merge(now time.Time, news []wire.Member) bool {
+func (t *Table) Merge(now time.Time, members []wire.Member) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	fresh := false
-	for _, m := range news {
+	changed := false
+	for _, m := range members {
 		if t.mergeOne(now, m) {
-			fresh = true
+			changed = true
 		}
 	}
-	return fresh
+	return changed
 }
 
 // mergeOne takes news of one member.
@@ -131,12 +131,12 @@
 		if m.State == wire.MemberStateD {
 			return false
 		}
-		t.set(now, m)
+		t.store(now, m)
 		return true
 	}
 	switch compare(m, e.Member) {
 	case newer:
-		t.set(now, m)
+		t.store(now, m)
 		return true
 	case same:
 		return t.mergeSuspicion(now, e, m)
@@ -153,13 +153,13 @@
 	if m.Incarnation > t.self.Incarnation {
 		// An earlier process with a faster clock: speak above it.
 		t.self.Incarnation = m.Incarnation + 1
-		t.speak(now)
+		t.raiseRevision(now)
 		return true
 	}
-	doubted := m.State == wire.MemberStateS || m.State == wire.MemberStateD
-	if doubted && m.Revision >= t.self.Revision {
+	suspected := m.State == wire.MemberStateS || m.State == wire.MemberStateD
+	if suspected && m.Revision >= t.self.Revision {
 		t.self.Revision = m.Revision
-		t.speak(now)
+		t.raiseRevision(now)
 		return true
 	}
 	return false
@@ -175,29 +175,29 @@
 			added = true
 		}
 	}
-	if rank(m.State) > rank(next.State) {
+	if stateRank(m.State) > stateRank(next.State) {
 		next.State = m.State
 		added = true
 	}
 	if !added {
 		return false
 	}
-	t.set(now, next)
-	t.decide(now, t.entries[m.Name])
+	t.store(now, next)
+	t.declareIfDead(now, t.entries[m.Name])
 	return true
 }
 
-// order is the result of comparing two states of one member.
-type order int
+// ordering is the result of comparing two states of one member.
+type ordering int
 
 const (
-	older order = iota
+	older ordering = iota
 	same
 	newer
 )
 
 // compare tells whether news a of a member is newer than b.
-func compare(a, b wire.Member) order {
+func compare(a, b wire.Member) ordering {
 	switch {
 	case a.Incarnation != b.Incarnation:
 		if a.Incarnation > b.Incarnation {
@@ -213,8 +213,8 @@
 	return same
 }
 
-// rank orders states within one revision.
-func rank(s wire.MemberState) int {
+// stateRank orders states within one revision.
+func stateRank(s wire.MemberState) int {
 	switch s {
 	case wire.MemberStateD:
 		return 2
@@ -224,13 +224,13 @@
 	return 0
 }
 
-// News returns the members that changed lately.
-func (t *Table) News(now time.Time) []wire.Member {
+// RecentChanges returns the members that changed lately.
+func (t *Table) RecentChanges(now time.Time) []wire.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []wire.Member
 	for _, e := range t.entries {
-		if now.Sub(e.changed) < newsLife*t.opts.Heartbeat {
+		if now.Sub(e.lastChange) < changeRounds*t.opts.Heartbeat {
 			out = append(out, e.Member)
 		}
 	}
--- a/internal/member/table_test.go
+++ b/internal/member/table_test.go
@@ -49,15 +49,15 @@
 		if m.down[name] {
 			continue
 		}
-		t.Observe(m.now)
+		t.DetectFailures(m.now)
 		for _, to := range t.Targets() {
 			if m.down[to.Name] {
 				continue
 			}
 			other := m.tables[to.Name]
-			other.Merge(m.now, t.News(m.now))
-			other.Heard(m.now, name, t.Self().Incarnation)
-			t.Merge(m.now, other.News(m.now))
+			other.Merge(m.now, t.RecentChanges(m.now))
+			other.RecordHeartbeat(m.now, name, t.Self().Incarnation)
+			t.Merge(m.now, other.RecentChanges(m.now))
 		}
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -135,7 +135,7 @@
 		front.WithLimits(front.Limits{MaxBody: int64(s.MaxBodyBytes), WriteTimeout: ms(s.WriteTimeoutMs), EntryKeep: ms(s.EntryKeepMs)}),
 	)
 	n.admin = admin.New(n.store, n.keeper, n.table, n.client, n, log,
-		admin.WithBootstrap(s.BootstrapTokenSha256), admin.WithAccepted(n.members.Kick),
+		admin.WithBootstrap(s.BootstrapTokenSha256), admin.WithAccepted(n.members.SendNow),
 		admin.WithReady(n.Ready), admin.WithMetrics(n.tele.Metrics),
 	)
 	n.handlePeers()
@@ -143,7 +143,7 @@
 
 // handlePeers sets which methods peers may call.
 func (n *Node) handlePeers() {
-	n.server.Handle(member.MethodHeartbeat, peer.Typed(n.members.Answer))
+	n.server.Handle(member.MethodHeartbeat, peer.Typed(n.members.HandleHeartbeat))
 	n.server.Handle(broker.MethodAcquire, peer.Typed(n.brokers.Acquire))
 	n.server.Handle(broker.MethodRelease, peer.Typed(n.brokers.Release))
 	n.server.Handle(broker.MethodCancel, peer.Typed(n.brokers.Cancel))
--- a/internal/sched/shared.go
+++ b/internal/sched/shared.go
@@ -44,7 +44,7 @@
 // Share returns how many of an engine's slots a node has, of so many nodes.
 func Share(node, engine string, slots int, nodes []string) int {
 	share := slots / len(nodes)
-	if slices.Contains(member.Top("share/"+engine, nodes, slots%len(nodes)), node) {
+	if slices.Contains(member.TopRanked("share/"+engine, nodes, slots%len(nodes)), node) {
 		share++
 	}
 	return share
