--- a/internal/member/observe.go
+++ b/internal/member/observe.go
@@ -6,7 +6,8 @@
 	"github.com/croftturn/croftturn/internal/wire"
 )
 
-// RecordHeartbeat notes that a heartbeat of a member came.
+// RecordHeartbeat records the receipt of a heartbeat. It is ignored if it comes
+// from another incarnation of the member.
 func (t *Table) RecordHeartbeat(now time.Time, name string, incarnation int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -17,8 +18,8 @@
 	e.lastHeartbeat = now
 }
 
-// DetectFailures looks for members that this node watches and misses, and forgets old
-// tombstones. It returns whether anything changed.
+// DetectFailures checks the watched members for missing heartbeats and deletes
+// expired tombstones. It reports whether a member changed.
 func (t *Table) DetectFailures(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -41,10 +42,10 @@
 	return t.changed != before
 }
 
-// updateWatched finds out which members this node watches, after some came or went. A
-// member that it has only now begun to watch gets two thirds of its time: long
-// enough for two heartbeats, and not so long that a member whose observers all
-// died with it is missed late.
+// updateWatched recomputes which members this node watches after members were added
+// or removed. A newly watched member gets two thirds of the suspect timeout: long
+// enough for two heartbeats, and short enough that the failure of a member is not
+// detected late if all its observers died with it.
 func (t *Table) updateWatched(now time.Time) {
 	t.watchStale = false
 	for name, e := range t.entries {
@@ -56,7 +57,7 @@
 	}
 }
 
-// recordMiss notes that no heartbeat of a member came for too long.
+// recordMiss marks a member as suspected by this node.
 func (t *Table) recordMiss(now time.Time, e *entry) {
 	if !contains(e.SuspectedBy, t.self.Name) {
 		next := e.Member
@@ -69,8 +70,8 @@
 	t.declareIfDead(now, e)
 }
 
-// declareIfDead declares a suspect dead when most of its observers miss it. Observers
-// that are suspect themselves have no vote.
+// declareIfDead declares a suspect member dead if a majority of its observers
+// suspect it. Observers that are suspect themselves have no vote.
 func (t *Table) declareIfDead(now time.Time, e *entry) {
 	if e.State != wire.MemberStateS {
 		return
@@ -93,7 +94,7 @@
 	}
 }
 
-// observers returns the names of those that watch a member.
+// observers returns the names of the members that watch a member.
 func (t *Table) observers(name string) []string {
 	candidates := make([]string, 0, len(t.entries))
 	for n, e := range t.entries {
--- a/internal/member/owner.go
+++ b/internal/member/owner.go
@@ -7,8 +7,8 @@
 	"github.com/croftturn/croftturn/internal/wire"
 )
 
-// Owner returns the member that a key belongs to: the first by rendezvous
-// hashing among those that are alive, or where there is none, among the suspect.
+// Owner returns the member that owns a key: the first by rendezvous hashing among
+// the alive members or, if there are none, among the suspect ones.
 func (t *Table) Owner(key string) (wire.Member, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -31,7 +31,7 @@
 	return t.entries[top[0]].Member, true
 }
 
-// TopRanked returns the n names that rank first for a key by rendezvous hashing.
+// TopRanked returns the n highest-ranked names for a key by rendezvous hashing.
 func TopRanked(key string, names []string, n int) []string {
 	type scored struct {
 		name  string
@@ -54,7 +54,7 @@
 	return out
 }
 
-// contains reports whether a name is in a short list.
+// contains reports whether a list includes a name.
 func contains(list []string, name string) bool {
 	for _, n := range list {
 		if n == name {
--- a/internal/member/service.go
+++ b/internal/member/service.go
@@ -11,13 +11,15 @@
 )
 
 const (
-	// MethodHeartbeat is the peers' method that takes a Heartbeat.
+	// MethodHeartbeat is the peer method that receives a Heartbeat.
 	MethodHeartbeat = "hb"
 
-	// debounceDelay gathers changes before they are sent ahead of the next heartbeat.
+	// debounceDelay is how long changes are batched before an early heartbeat sends
+	// them.
 	debounceDelay = 20 * time.Millisecond
 
-	// fullSyncInterval bounds how often one node sends its whole table.
+	// fullSyncInterval is the minimum time between two full-table replies that one
+	// node sends to repair differences.
 	fullSyncInterval = 2 * time.Second
 )
 
@@ -27,30 +29,31 @@
 		Call(ctx context.Context, address, method string, params, result any) error
 	}
 
-	// Versions tells and takes configuration versions, which ride on heartbeats.
+	// Versions returns the configuration version to send with heartbeats.
 	Versions interface {
 		Version() int
 	}
 
-	// Service sends and answers heartbeats.
+	// Service sends heartbeats and replies to them.
 	Service struct {
-		table    *Table
-		caller   Caller
-		versions Versions
-		onNewerConfig    func() // newer is called when a peer has a newer configuration.
-		seeds    func(ctx context.Context) []string
-		log      *slog.Logger
-		now      func() time.Time
-		sendNow     chan struct{}
-		wg       sync.WaitGroup
-
-		mu       sync.Mutex
+		table         *Table
+		caller        Caller
+		versions      Versions
+		onNewerConfig func() // onNewerConfig is called when a peer has a newer configuration.
+		seeds         func(ctx context.Context) []string
+		log           *slog.Logger
+		now           func() time.Time
+		sendNow       chan struct{}
+		wg            sync.WaitGroup
+
+		mu           sync.Mutex
 		lastFullSync time.Time
 	}
 )
 
-// NewService returns a service on a table. newer is called when a peer has a
-// newer configuration; seeds lists peer addresses to ask while nobody is known.
+// NewService returns a service for a table. onNewerConfig is called when a peer has
+// a newer configuration; seeds returns the peer addresses to contact while no other
+// member is known.
 func NewService(table *Table, caller Caller, versions Versions, onNewerConfig func(), seeds func(ctx context.Context) []string, log *slog.Logger) *Service {
 	return &Service{
 		table: table, caller: caller, versions: versions, onNewerConfig: onNewerConfig, seeds: seeds, log: log,
@@ -58,7 +61,7 @@
 	}
 }
 
-// Run sends heartbeats until the context ends, then waits for those in flight.
+// Run sends heartbeats until the context is done, then waits for those in flight.
 func (s *Service) Run(ctx context.Context) {
 	defer s.wg.Wait()
 	tick := time.NewTicker(s.table.opts.Heartbeat)
@@ -79,7 +82,7 @@
 	}
 }
 
-// SendNow sends heartbeats at once, such as after a change of configuration.
+// SendNow sends heartbeats immediately, for example after a configuration change.
 func (s *Service) SendNow() {
 	select {
 	case s.sendNow <- struct{}{}:
@@ -87,7 +90,7 @@
 	}
 }
 
-// debounce waits a moment, so that changes which come together go out together.
+// debounce waits briefly so that changes close in time are sent together.
 func (s *Service) debounce(ctx context.Context) {
 	t := time.NewTimer(debounceDelay)
 	defer t.Stop()
@@ -97,7 +100,8 @@
 	}
 }
 
-// sendHeartbeats sends one heartbeat to each observer, or to the seeds while alone.
+// sendHeartbeats sends a heartbeat to each observer, or to the seeds while no other
+// member is known.
 func (s *Service) sendHeartbeats(ctx context.Context, now time.Time) {
 	self := s.table.Self()
 	hb := &wire.Heartbeat{
@@ -127,21 +131,21 @@
 	}
 }
 
-// sendHeartbeat sends a heartbeat and takes the news of its answer.
+// sendHeartbeat sends a heartbeat and merges the members in the reply.
 func (s *Service) sendHeartbeat(ctx context.Context, address string, hb *wire.Heartbeat) {
 	ctx, cancel := context.WithTimeout(ctx, s.table.opts.Suspect)
 	defer cancel()
 	reply := &wire.HeartbeatReply{}
 	if err := s.caller.Call(ctx, address, MethodHeartbeat, hb, reply); err != nil {
-		s.log.Debug("heartbeat not answered", "peer", address, "error", err.Error())
+		s.log.Debug("heartbeat failed", "peer", address, "error", err.Error())
 		return
 	}
 	s.table.Merge(s.now(), reply.Members)
 	s.compareVersion(reply.ConfigVersion)
 }
 
-// HandleHeartbeat takes a heartbeat and returns this node's news; it is the handler of
-// MethodHeartbeat.
+// HandleHeartbeat merges a heartbeat and replies with the members its sender
+// should know; it is the handler of MethodHeartbeat.
 func (s *Service) HandleHeartbeat(_ context.Context, hb *wire.Heartbeat) (any, error) {
 	now := s.now()
 	s.table.Merge(now, hb.Members)
@@ -152,8 +156,9 @@
 	return reply, nil
 }
 
-// replyMembers returns what the sender of a heartbeat should know: the latest changes,
-// or the whole table where the sender is unknown, thought dead, or differs.
+// replyMembers returns the members to send to the sender of a heartbeat: recent
+// changes if its table differs, or the whole table if the sender is unknown, suspect
+// or dead, if no other member is known, or if a full sync is due.
 func (s *Service) replyMembers(now time.Time, hb *wire.Heartbeat) []wire.Member {
 	m, known := s.table.Member(hb.From)
 	unknownOrSuspect := !known || m.State == wire.MemberStateD || m.State == wire.MemberStateS
@@ -168,7 +173,8 @@
 	return out
 }
 
-// allowFullSync reports whether the whole table may be sent now.
+// allowFullSync reports whether the whole table may be sent now, and if so starts
+// the next interval.
 func (s *Service) allowFullSync(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -179,7 +185,7 @@
 	return true
 }
 
-// compareVersion reports a newer configuration of a peer.
+// compareVersion calls onNewerConfig if a peer has a newer configuration.
 func (s *Service) compareVersion(version int) {
 	if version > s.versions.Version() {
 		s.onNewerConfig()
--- a/internal/member/table.go
+++ b/internal/member/table.go
@@ -1,6 +1,7 @@
-// Package member keeps the list of nodes that live, by heartbeats to a few
-// observers each. A member that its observers miss is suspect; it is dead when
-// most of them agree. What is known spreads with the heartbeats.
+// Package member maintains the list of live nodes. Each node sends heartbeats to a
+// few observers. A member whose heartbeats an observer misses is suspect; it is dead
+// once a majority of its observers agree. Changes spread by gossip with the
+// heartbeats.
 package member
 
 import (
@@ -14,45 +15,45 @@
 )
 
 const (
-	// tombstoneTTL is how long a dead member is remembered, so that late news
-	// of it does not bring it back.
+	// tombstoneTTL is how long a dead member is kept, so that a late update does
+	// not add it again.
 	tombstoneTTL = time.Minute
 
-	// changeRounds is how many heartbeats a change rides on.
+	// changeRounds is for how many heartbeat intervals a change is gossiped.
 	changeRounds = 5
 )
 
 type (
-	// Options are the times and numbers of the protocol.
+	// Options are the parameters of the protocol.
 	Options struct {
 		Heartbeat time.Duration // Heartbeat is the time between two heartbeats.
-		Suspect   time.Duration // Suspect is how long an observer waits for one.
+		Suspect   time.Duration // Suspect is how long an observer waits for a heartbeat.
 		Observers int           // Observers is how many peers watch each member.
 	}
 
-	// entry is one member with what this node observed of it.
+	// entry is a member with this node's observations of it.
 	entry struct {
 		wire.Member
-		lastChange time.Time // changed is when this node last learned something new.
-		lastHeartbeat   time.Time // heard is when a heartbeat last came, or when watching began.
-		watched bool      // watched says that this node is one of its observers.
+		lastChange    time.Time // lastChange is when the member's state here last changed.
+		lastHeartbeat time.Time // lastHeartbeat is when a heartbeat last came, or the time a new watch counts from.
+		watched       bool      // watched says that this node is one of its observers.
 	}
 
-	// Table is what one node knows of all members. Its methods may be called
-	// from many goroutines; all that decide take the present time.
+	// Table is one node's view of all members. Its methods may be called from many
+	// goroutines; methods that depend on time take the current time.
 	Table struct {
 		opts Options
 
-		mu      sync.Mutex
-		self    wire.Member
-		entries map[string]*entry
-		changed chan struct{}
-		watchStale   bool // moved says that members came or went since rewatch.
-		hash    int  // hash is the digest of the table; 0 where it is to be worked out.
+		mu         sync.Mutex
+		self       wire.Member
+		entries    map[string]*entry
+		changed    chan struct{}
+		watchStale bool // watchStale is set when members were added or removed since updateWatched.
+		hash       int  // hash is the cached digest of the table; 0 if it must be recomputed.
 	}
 )
 
-// NewTable returns a table that knows only this node itself.
+// NewTable returns a table that contains only this node.
 func NewTable(now time.Time, self wire.Member, opts Options) *Table {
 	self.State = wire.MemberStateA
 	t := &Table{opts: opts, self: self, entries: map[string]*entry{}, changed: make(chan struct{})}
@@ -60,7 +61,7 @@
 	return t
 }
 
-// Self returns what this node says of itself.
+// Self returns this node's own member record.
 func (t *Table) Self() wire.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -82,14 +83,14 @@
 	t.raiseRevision(now)
 }
 
-// raiseRevision raises the revision of what this node says of itself.
+// raiseRevision stores this node's own record under a new revision.
 func (t *Table) raiseRevision(now time.Time) {
 	t.self.Revision++
 	t.self.SuspectedBy = nil
 	t.store(now, t.self)
 }
 
-// store stores a member and tells those who wait for changes.
+// store stores a member and closes the channel that Changed returned.
 func (t *Table) store(now time.Time, m wire.Member) {
 	e := t.entries[m.Name]
 	if e == nil {
@@ -108,7 +109,7 @@
 	t.changed = make(chan struct{})
 }
 
-// Merge takes news of members and returns whether any of it was new.
+// Merge merges member records and reports whether any of them was new.
 func (t *Table) Merge(now time.Time, members []wire.Member) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -121,7 +122,7 @@
 	return changed
 }
 
-// mergeOne takes news of one member.
+// mergeOne merges the record of one member.
 func (t *Table) mergeOne(now time.Time, m wire.Member) bool {
 	if m.Name == t.self.Name {
 		return t.mergeSelf(now, m)
@@ -144,14 +145,14 @@
 	return false
 }
 
-// mergeSelf answers what others say of this node: a suspicion or a death is
-// contradicted, and a later incarnation of the same name is not taken over.
+// mergeSelf handles a record of this node from others: it refutes a suspicion or a
+// death with a higher revision, and a later incarnation with a higher incarnation.
 func (t *Table) mergeSelf(now time.Time, m wire.Member) bool {
 	if m.Incarnation < t.self.Incarnation {
 		return false
 	}
 	if m.Incarnation > t.self.Incarnation {
-		// An earlier process with a faster clock: speak above it.
+		// An earlier process had a faster clock: choose a higher incarnation.
 		t.self.Incarnation = m.Incarnation + 1
 		t.raiseRevision(now)
 		return true
@@ -165,7 +166,8 @@
 	return false
 }
 
-// mergeSuspicion joins the observers that miss a member.
+// mergeSuspicion adds the observers that suspect a member, and takes over a worse
+// state.
 func (t *Table) mergeSuspicion(now time.Time, e *entry, m wire.Member) bool {
 	added := false
 	next := e.Member
@@ -187,7 +189,7 @@
 	return true
 }
 
-// ordering is the result of comparing two states of one member.
+// ordering is the result of comparing two records of one member.
 type ordering int
 
 const (
@@ -196,7 +198,7 @@
 	newer
 )
 
-// compare tells whether news a of a member is newer than b.
+// compare reports whether record a of a member is older or newer than b.
 func compare(a, b wire.Member) ordering {
 	switch {
 	case a.Incarnation != b.Incarnation:
@@ -213,7 +215,7 @@
 	return same
 }
 
-// stateRank orders states within one revision.
+// stateRank orders the states within one revision; the higher one wins.
 func stateRank(s wire.MemberState) int {
 	switch s {
 	case wire.MemberStateD:
@@ -224,7 +226,8 @@
 	return 0
 }
 
-// RecentChanges returns the members that changed lately.
+// RecentChanges returns the members that changed in the last changeRounds heartbeat
+// intervals.
 func (t *Table) RecentChanges(now time.Time) []wire.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -237,7 +240,7 @@
 	return out
 }
 
-// All returns all members, dead ones included, in the order of their names.
+// All returns all members, including dead ones, sorted by name.
 func (t *Table) All() []wire.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -249,7 +252,7 @@
 	return out
 }
 
-// Live returns the members that are not dead, in the order of their names.
+// Live returns the members that are not dead, sorted by name.
 func (t *Table) Live() []wire.Member {
 	all := t.All()
 	out := all[:0]
@@ -261,7 +264,7 @@
 	return out
 }
 
-// Member returns one member, or false where it is not known.
+// Member returns a member by name, or false if it is unknown.
 func (t *Table) Member(name string) (wire.Member, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -272,7 +275,8 @@
 	return e.Member, true
 }
 
-// Hash returns a digest of the table, by which two nodes see that they differ.
+// Hash returns a digest of the table; two nodes compare it to detect differences.
+// Dead members are left out.
 func (t *Table) Hash() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -291,7 +295,7 @@
 	return t.hash
 }
 
-// Len returns how many members are known, dead ones included.
+// Len returns the number of known members, including dead ones.
 func (t *Table) Len() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/member/table_test.go
+++ b/internal/member/table_test.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	beat    = 400 * time.Millisecond
-	suspect = 1600 * time.Millisecond
+	heartbeat = 400 * time.Millisecond
+	suspect   = 1600 * time.Millisecond
 )
 
 var (
 	start = time.Unix(1000, 0)
-	opts  = member.Options{Heartbeat: beat, Suspect: suspect, Observers: 3}
+	opts  = member.Options{Heartbeat: heartbeat, Suspect: suspect, Observers: 3}
 )
 
-// mesh is a number of tables whose heartbeats a test carries by hand.
-type mesh struct {
+// cluster is a set of tables that exchange heartbeats in simulated time.
+type cluster struct {
 	tables map[string]*member.Table
 	down   map[string]bool
 	now    time.Time
 }
 
-// newMesh returns tables that all know each other.
-func newMesh(n int) *mesh {
-	m := &mesh{tables: map[string]*member.Table{}, down: map[string]bool{}, now: start}
+// newCluster returns n tables that all know each other.
+func newCluster(n int) *cluster {
+	m := &cluster{tables: map[string]*member.Table{}, down: map[string]bool{}, now: start}
 	var all []wire.Member
 	for i := range n {
 		self := wire.Member{Name: fmt.Sprintf("n%d", i), PeerAddress: fmt.Sprintf("p%d", i), Incarnation: 1, State: wire.MemberStateA}
@@ -41,10 +41,10 @@
 	return m
 }
 
-// round lets one heartbeat time pass: every table observes, and beats to its
-// targets.
-func (m *mesh) round() {
-	m.now = m.now.Add(beat)
+// round advances time by one heartbeat interval: every table detects failures and
+// sends a heartbeat to its targets.
+func (m *cluster) round() {
+	m.now = m.now.Add(heartbeat)
 	for name, t := range m.tables {
 		if m.down[name] {
 			continue
@@ -62,8 +62,8 @@
 	}
 }
 
-// count returns how many tables see a member in a state.
-func (m *mesh) count(name string, state wire.MemberState) int {
+// count returns how many live tables have a member in a state.
+func (m *cluster) count(name string, state wire.MemberState) int {
 	n := 0
 	for at, t := range m.tables {
 		if got, ok := t.Member(name); ok && got.State == state && !m.down[at] {
@@ -73,11 +73,11 @@
 	return n
 }
 
-// TestFailureIsSeenFromTheFirstMiss holds that an observer does not begin to
-// watch only when it first misses a heartbeat: it did, and a failure was seen
-// after 3.4 s instead of 2.
-func TestFailureIsSeenFromTheFirstMiss(t *testing.T) {
-	m := newMesh(9)
+// TestFailureIsDetectedFromTheFirstMiss guards against observers that begin to watch
+// a member only at its first missed heartbeat: failures were then detected after
+// 3.4 s instead of 2.
+func TestFailureIsDetectedFromTheFirstMiss(t *testing.T) {
+	m := newCluster(9)
 	for range 10 {
 		m.round()
 	}
@@ -91,8 +91,8 @@
 	}
 }
 
-func TestQuietMeshStaysAlive(t *testing.T) {
-	m := newMesh(12)
+func TestHealthyClusterStaysAlive(t *testing.T) {
+	m := newCluster(12)
 	for range 200 {
 		m.round()
 	}
@@ -103,9 +103,9 @@
 	}
 }
 
-// TestHallLost takes away a third of the members at once.
+// TestHallLost stops a third of the members at once.
 func TestHallLost(t *testing.T) {
-	m := newMesh(30)
+	m := newCluster(30)
 	for range 10 {
 		m.round()
 	}
@@ -126,17 +126,17 @@
 	}
 }
 
-// TestOneObserverIsNotEnough holds that a member which a single observer misses
-// contradicts the suspicion and lives on.
+// TestOneObserverIsNotEnough checks that a member suspected by a single observer
+// refutes the suspicion and stays alive.
 func TestOneObserverIsNotEnough(t *testing.T) {
-	m := newMesh(9)
+	m := newCluster(9)
 	for range 5 {
 		m.round()
 	}
 	target := m.tables["n4"].Targets()[0].Name
-	doubt := m.tables["n4"].Self()
-	doubt.State, doubt.SuspectedBy = wire.MemberStateS, []string{target}
-	m.tables[target].Merge(m.now, []wire.Member{doubt})
+	suspicion := m.tables["n4"].Self()
+	suspicion.State, suspicion.SuspectedBy = wire.MemberStateS, []string{target}
+	m.tables[target].Merge(m.now, []wire.Member{suspicion})
 	for range 5 {
 		if got := m.count("n4", wire.MemberStateD); got > 0 {
 			t.Fatalf("n4 is seen dead by %d though one observer alone missed it", got)
@@ -148,10 +148,10 @@
 	}
 }
 
-// TestWokenMemberComesBack holds that a member which was frozen and declared
-// dead speaks above that.
-func TestWokenMemberComesBack(t *testing.T) {
-	m := newMesh(5)
+// TestFrozenMemberRejoins checks that a member that was frozen and declared dead
+// refutes its death with a higher revision.
+func TestFrozenMemberRejoins(t *testing.T) {
+	m := newCluster(5)
 	for range 5 {
 		m.round()
 	}
@@ -173,8 +173,8 @@
 	}
 }
 
-func TestOwnerIsSpreadAndStable(t *testing.T) {
-	m := newMesh(10)
+func TestOwnersAreBalancedAndStable(t *testing.T) {
+	m := newCluster(10)
 	table := m.tables["n0"]
 	owners := map[string]int{}
 	before := map[string]string{}
