--- a/internal/kv/client.go
+++ b/internal/kv/client.go
@@ -1,5 +1,5 @@
-// Package kv keeps the product's own rows, by key, in one table of the
-// platform's store. Others see rows, transactions and the typed errors here.
+// Package kv stores Croftturn's own rows by key in one table of the platform's
+// store. It exposes rows, transactions and typed errors.
 package kv
 
 import (
@@ -15,24 +15,24 @@
 )
 
 const (
-	// tableRows holds the product's rows.
+	// tableRows is the name of the table with Croftturn's rows.
 	tableRows = "croftturn"
 
-	// tableInstances holds the list of instances, which lags behind reality.
+	// tableInstances is the name of the table of instances, which may be stale.
 	tableInstances = "croftturn-instances"
 
-	// absent is the version of a row that does not exist.
-	absent = 0
+	// absentVersion is the version of a missing row.
+	absentVersion = 0
 )
 
 var (
-	// ErrConflict says that a check of a transaction failed; nothing was written.
+	// ErrConflict means that a check of a transaction failed; nothing was written.
 	ErrConflict = errors.New("kv: a row has another version")
 
-	// ErrUnavailable says that the platform did not do what was asked.
+	// ErrUnavailable means that the platform did not execute the request.
 	ErrUnavailable = errors.New("kv: store not available")
 
-	// ErrUncertain says that a write may or may not have taken effect.
+	// ErrUncertain means that a write may or may not have taken effect.
 	ErrUncertain = errors.New("kv: the write may have taken effect")
 )
 
@@ -41,10 +41,10 @@
 	Row struct {
 		Key     string          `json:"key"`
 		Value   json.RawMessage `json:"value,omitempty"`
-		Version int             `json:"version"` // Version grows with each write of the row; 0 means absent.
+		Version int             `json:"version"` // Version increases with each write of the row; 0 means that it does not exist.
 	}
 
-	// Check makes a transaction fail unless a row has this version.
+	// Check is a precondition of a transaction: the row must have this version.
 	Check struct {
 		Key     string `json:"key"`
 		Version int    `json:"version"`
@@ -56,25 +56,25 @@
 		Value json.RawMessage `json:"value,omitempty"`
 	}
 
-	// Txn is a transaction: all checks hold and all rows are written, or nothing is.
+	// Txn is a transaction: if all checks hold, all rows are written, otherwise none.
 	Txn struct {
 		Checks []Check `json:"checks,omitempty"`
 		Puts   []Put   `json:"puts,omitempty"`
 	}
 
-	// ConflictError names the rows whose checks failed, as they are now.
+	// ConflictError holds the current rows whose checks failed.
 	ConflictError struct {
 		Rows []Row
 	}
 
-	// Instance is one line of the platform's list, which lags behind reality.
+	// Instance is an entry in the platform's list of instances, which may be stale.
 	Instance struct {
 		Name        string `json:"name"`
 		PeerAddress string `json:"peer_address"`
 		Leaving     bool   `json:"leaving"`
 	}
 
-	// Client reads and writes rows. Its methods may be called from many goroutines.
+	// Client reads and writes rows. It is safe for concurrent use.
 	Client struct {
 		store *platform.Store
 
@@ -91,38 +91,38 @@
 // Is makes errors.Is(err, ErrConflict) true.
 func (e *ConflictError) Is(target error) bool { return target == ErrConflict }
 
-// New returns a client of the store at these addresses; timeout bounds each call.
+// New returns a client for the store at these addresses; timeout bounds each call.
 func New(addresses []string, timeout time.Duration) *Client {
 	return &Client{store: platform.NewStore(addresses, timeout)}
 }
 
-// Get reads one row; an absent row comes with version 0.
+// Get reads one row; a missing row is returned with version 0.
 func (c *Client) Get(ctx context.Context, key string) (Row, error) {
 	found, err := c.scan(ctx, key, key+"\x00", 1)
 	if err != nil {
 		return Row{}, fmt.Errorf("get row %s: %w", key, err)
 	}
 	if len(found) == 0 {
-		return Row{Key: key, Version: absent}, nil
+		return Row{Key: key, Version: absentVersion}, nil
 	}
 	return found[0], nil
 }
 
-// List reads the rows with a prefix whose keys come after a key, in key order.
+// List reads up to limit rows with a key prefix that sort after a key, in key order.
 func (c *Client) List(ctx context.Context, prefix, after string, limit int) ([]Row, error) {
 	from := prefix
 	if after >= prefix {
 		from = after + "\x00"
 	}
-	found, err := c.scan(ctx, from, end(prefix), limit)
+	found, err := c.scan(ctx, from, prefixEnd(prefix), limit)
 	if err != nil {
 		return nil, fmt.Errorf("list rows %s: %w", prefix, err)
 	}
 	return found, nil
 }
 
-// end returns the first key after all keys with a prefix; nothing if there is none.
-func end(prefix string) string {
+// prefixEnd returns the first key after all keys with a prefix, or "" if there is none.
+func prefixEnd(prefix string) string {
 	for i := len(prefix) - 1; i >= 0; i-- {
 		if prefix[i] < 0x7f {
 			return prefix[:i] + string(rune(prefix[i]+1))
@@ -131,18 +131,18 @@
 	return ""
 }
 
-// scan reads rows by their keys.
+// scan reads up to limit rows with keys in [from, to).
 func (c *Client) scan(ctx context.Context, from, to string, limit int) ([]Row, error) {
 	c.Reads.Add(1)
 	snap, _, err := c.store.Range(ctx, tableRows, "", from, to, limit)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
-	return fromStore(snap.Rows), nil
+	return toRows(snap.Rows), nil
 }
 
-// fromStore returns rows of the store's table as the product's.
-func fromStore(rows []feed.Row) []Row {
+// toRows converts rows of the platform's store to Rows.
+func toRows(rows []feed.Row) []Row {
 	out := make([]Row, 0, len(rows))
 	for _, r := range rows {
 		out = append(out, Row{Key: r.Key, Value: r.Value, Version: int(r.Version)})
@@ -150,8 +150,8 @@
 	return out
 }
 
-// Transact runs a transaction. The error is ErrConflict or ErrUnavailable where
-// nothing was written, and ErrUncertain where that is not known.
+// Transact runs a transaction. The error is ErrConflict or ErrUnavailable if
+// nothing was written, and ErrUncertain if that is unknown.
 func (c *Client) Transact(ctx context.Context, txn Txn) error {
 	c.Writes.Add(1)
 	tx := feed.Tx{}
@@ -172,14 +172,14 @@
 	case err == nil:
 		return nil
 	case errors.As(err, &conflict):
-		return &ConflictError{Rows: fromStore(conflict.Rows)}
+		return &ConflictError{Rows: toRows(conflict.Rows)}
 	case errors.Is(err, feed.ErrUnavailable):
 		return fmt.Errorf("transaction: %w: %w", ErrUnavailable, err)
 	}
 	return fmt.Errorf("transaction: %w: %w", ErrUncertain, err)
 }
 
-// Instances reads the list of instances, which lags behind reality.
+// Instances reads the list of instances, which may be stale.
 func (c *Client) Instances(ctx context.Context) ([]Instance, error) {
 	c.Reads.Add(1)
 	snap, err := c.store.List(ctx, tableInstances, "")
@@ -197,5 +197,5 @@
 	return out, nil
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.store.Close() }
