--- a/internal/lang/lang.go
+++ b/internal/lang/lang.go
@@ -1,5 +1,5 @@
-// Package lang is the operators' query and command language: its grammar, and
-// the table of its statements with help and examples.
+// Package lang implements the operators' query and command language: its grammar,
+// and the list of its statements with help texts and examples.
 package lang
 
 import (
@@ -15,7 +15,7 @@
 )
 
 type (
-	// Statement is one parsed statement; one of its fields is set.
+	// Statement is a parsed statement; exactly one of its fields is set.
 	Statement struct {
 		Query    *Query    `parser:"@@"`
 		Explain  *Explain  `parser:"| @@"`
@@ -27,7 +27,7 @@
 		Order    *Order    `parser:"| @@"`
 	}
 
-	// Query asks for rows of a table.
+	// Query selects rows of a table.
 	Query struct {
 		Table string      `parser:"@('running' | 'queued' | 'refused' | 'completed' | 'unknown' | 'cancelled' | 'engines' | 'orders' | 'members')"`
 		Where []Condition `parser:"( 'where' @@ ( 'and' @@ )* )?"`
@@ -35,30 +35,30 @@
 		By    string      `parser:"( 'by' @Word )?"`
 	}
 
-	// Condition is a field that has, or has not, a value.
+	// Condition compares a field with a value.
 	Condition struct {
 		Field    string `parser:"@Word"`
 		Operator string `parser:"@('=' | '!=')"`
 		Value    string `parser:"@(Word | String)"`
 	}
 
-	// Explain asks why a request went as it did.
+	// Explain asks how a request was scheduled, routed or refused.
 	Explain struct {
 		Request string `parser:"'explain' @Word"`
 	}
 
-	// History asks for the accepted changes.
+	// History lists the accepted changes.
 	History struct {
 		After string `parser:"'history' ( 'after' @Word )?"`
 	}
 
-	// State drains an engine or takes it back.
+	// State drains an engine or reactivates it.
 	State struct {
 		Verb   string `parser:"@('drain' | 'undrain') 'engine'"`
 		Engine string `parser:"@Word"`
 	}
 
-	// Set sets fields of one part of the configuration.
+	// Set sets fields of one configuration entity.
 	Set struct {
 		Kind   string       `parser:"'set' @('class' | 'team' | 'pool' | 'engine' | 'operator')"`
 		Name   string       `parser:"@Word"`
@@ -71,35 +71,35 @@
 		Value string `parser:"@(Word | String)"`
 	}
 
-	// Delete deletes one part of the configuration.
+	// Delete deletes one configuration entity.
 	Delete struct {
 		Kind string `parser:"'delete' @('class' | 'team' | 'pool' | 'engine' | 'operator')"`
 		Name string `parser:"@Word"`
 	}
 
-	// Rollback takes back all changes after a version.
+	// Rollback reverts all changes after a version.
 	Rollback struct {
 		Version int `parser:"'rollback' 'to' @Word"`
 	}
 
-	// Order gives an engine a fenced order.
+	// Order sends an engine an order with a fencing token.
 	Order struct {
 		Engine string `parser:"'order' 'engine' @Word"`
 		Text   string `parser:"@String"`
 	}
 
-	// Entry is one line of the table of statements.
-	Entry struct {
-		Name    string
-		Form    string
-		Help    string
-		Example string
-		Change  bool // Change says that the statement needs the role change.
+	// StatementInfo describes a statement in the help text.
+	StatementInfo struct {
+		Name          string
+		Syntax        string
+		Help          string
+		Example       string
+		ChangesConfig bool // ChangesConfig is set if the statement requires the role change.
 	}
 )
 
 var (
-	// grammar returns the parser, made when it is first needed.
+	// grammar returns the parser; it is built on first use.
 	grammar = sync.OnceValue(func() *participle.Parser[Statement] {
 		return participle.MustBuild[Statement](
 			participle.Lexer(lexer.MustSimple([]lexer.SimpleRule{
@@ -113,31 +113,31 @@
 		)
 	})
 
-	queryForm = " [where FIELD = VALUE [and ...]] [since DURATION] [by FIELD]"
-
-	// Table lists all statements.
-	Table = []Entry{
-		{Name: "running", Form: "running" + queryForm, Help: "Requests that are on an engine.", Example: "running where class = confirm"},
-		{Name: "queued", Form: "queued" + queryForm, Help: "Requests that wait for a place.", Example: "queued by class"},
-		{Name: "refused", Form: "refused" + queryForm, Help: "Requests that were refused.", Example: "refused since 5m by class"},
-		{Name: "completed", Form: "completed" + queryForm, Help: "Requests whose answer was whole.", Example: "completed since 1m by team"},
-		{Name: "unknown", Form: "unknown" + queryForm, Help: "Requests whose outcome is not known.", Example: "unknown since 1h"},
-		{Name: "cancelled", Form: "cancelled" + queryForm, Help: "Requests whose caller had gone.", Example: "cancelled by team"},
-		{Name: "engines", Form: "engines" + queryForm, Help: "Engines as their brokers see them.", Example: "engines where state != active"},
-		{Name: "orders", Form: "orders" + queryForm, Help: "Orders to engines, and whether they have them.", Example: "orders where state = pending"},
-		{Name: "members", Form: "members" + queryForm, Help: "Nodes as the asked node sees them.", Example: "members"},
-		{Name: "explain", Form: "explain REQUEST", Help: "Why a request waited, went where it went, or was refused.", Example: "explain 5f3a9c0de1b2a3c4d5e6f708"},
-		{Name: "history", Form: "history [after VERSION]", Help: "Accepted changes of the configuration.", Example: "history after 12"},
-		{Name: "drain", Form: "drain engine NAME", Help: "Give an engine no new work.", Example: "drain engine e3", Change: true},
-		{Name: "undrain", Form: "undrain engine NAME", Help: "Give an engine work again.", Example: "undrain engine e3", Change: true},
-		{Name: "order", Form: "order engine NAME \"TEXT\"", Help: "Order an engine to load a model, adapter or version, or to change role.", Example: "order engine e3 \"load model desk-2\"", Change: true},
-		{Name: "set", Form: "set KIND NAME FIELD = VALUE [, ...]", Help: "Set fields of a class, team, pool, engine or operator.", Example: "set team ebro requests_per_second = 50", Change: true},
-		{Name: "delete", Form: "delete KIND NAME", Help: "Delete a class, team, pool, engine or operator.", Example: "delete team ebro", Change: true},
-		{Name: "rollback", Form: "rollback to VERSION", Help: "Take back all changes after a version, as a new version.", Example: "rollback to 12", Change: true},
+	querySyntax = " [where FIELD = VALUE [and ...]] [since DURATION] [by FIELD]"
+
+	// Statements lists all statements.
+	Statements = []StatementInfo{
+		{Name: "running", Syntax: "running" + querySyntax, Help: "Requests that are on an engine.", Example: "running where class = confirm"},
+		{Name: "queued", Syntax: "queued" + querySyntax, Help: "Requests that wait for a place.", Example: "queued by class"},
+		{Name: "refused", Syntax: "refused" + querySyntax, Help: "Requests that were refused.", Example: "refused since 5m by class"},
+		{Name: "completed", Syntax: "completed" + querySyntax, Help: "Requests whose answer was whole.", Example: "completed since 1m by team"},
+		{Name: "unknown", Syntax: "unknown" + querySyntax, Help: "Requests whose outcome is not known.", Example: "unknown since 1h"},
+		{Name: "cancelled", Syntax: "cancelled" + querySyntax, Help: "Requests whose caller had gone.", Example: "cancelled by team"},
+		{Name: "engines", Syntax: "engines" + querySyntax, Help: "Engines as their brokers see them.", Example: "engines where state != active"},
+		{Name: "orders", Syntax: "orders" + querySyntax, Help: "Orders to engines, and whether they have them.", Example: "orders where state = pending"},
+		{Name: "members", Syntax: "members" + querySyntax, Help: "Nodes as the asked node sees them.", Example: "members"},
+		{Name: "explain", Syntax: "explain REQUEST", Help: "Why a request waited, went where it went, or was refused.", Example: "explain 5f3a9c0de1b2a3c4d5e6f708"},
+		{Name: "history", Syntax: "history [after VERSION]", Help: "Accepted changes of the configuration.", Example: "history after 12"},
+		{Name: "drain", Syntax: "drain engine NAME", Help: "Give an engine no new work.", Example: "drain engine e3", ChangesConfig: true},
+		{Name: "undrain", Syntax: "undrain engine NAME", Help: "Give an engine work again.", Example: "undrain engine e3", ChangesConfig: true},
+		{Name: "order", Syntax: "order engine NAME \"TEXT\"", Help: "Order an engine to load a model, adapter or version, or to change role.", Example: "order engine e3 \"load model desk-2\"", ChangesConfig: true},
+		{Name: "set", Syntax: "set KIND NAME FIELD = VALUE [, ...]", Help: "Set fields of a class, team, pool, engine or operator.", Example: "set team ebro requests_per_second = 50", ChangesConfig: true},
+		{Name: "delete", Syntax: "delete KIND NAME", Help: "Delete a class, team, pool, engine or operator.", Example: "delete team ebro", ChangesConfig: true},
+		{Name: "rollback", Syntax: "rollback to VERSION", Help: "Take back all changes after a version, as a new version.", Example: "rollback to 12", ChangesConfig: true},
 	}
 )
 
-// Parse reads one statement. The error is trace.BadParameter and says what was
+// Parse parses one statement. The error is trace.BadParameter and says what was
 // expected.
 func Parse(text string) (*Statement, error) {
 	s, err := grammar().ParseString("", text)
@@ -152,17 +152,17 @@
 	return s, nil
 }
 
-// names returns the names of all statements in order.
+// names returns the names of all statements, sorted.
 func names() []string {
-	out := make([]string, 0, len(Table))
-	for _, e := range Table {
+	out := make([]string, 0, len(Statements))
+	for _, e := range Statements {
 		out = append(out, e.Name)
 	}
 	sort.Strings(out)
 	return out
 }
 
-// Age returns how old rows may be, or 0 for any age.
+// Age returns the maximum age of rows, or 0 for no limit.
 func (q *Query) Age() (time.Duration, error) {
 	if q.Since == "" {
 		return 0, nil
@@ -179,11 +179,11 @@
 	return s.State != nil || s.Set != nil || s.Delete != nil || s.Rollback != nil || s.Order != nil
 }
 
-// Help returns the table of statements as text.
+// Help returns the help text for all statements.
 func Help() string {
 	var b strings.Builder
-	for _, e := range Table {
-		fmt.Fprintf(&b, "%s\n    %s\n    example: %s\n", e.Form, e.Help, e.Example)
+	for _, e := range Statements {
+		fmt.Fprintf(&b, "%s\n    %s\n    example: %s\n", e.Syntax, e.Help, e.Example)
 	}
 	return b.String()
 }
--- a/internal/lang/lang_test.go
+++ b/internal/lang/lang_test.go
@@ -9,14 +9,14 @@
 )
 
 func TestEveryExampleParses(t *testing.T) {
-	for _, e := range lang.Table {
+	for _, e := range lang.Statements {
 		s, err := lang.Parse(e.Example)
 		if err != nil {
 			t.Errorf("Parse(%q): %v", e.Example, err)
 			continue
 		}
-		if s.Changes() != e.Change {
-			t.Errorf("Parse(%q).Changes() = %v, want %v", e.Example, s.Changes(), e.Change)
+		if s.Changes() != e.ChangesConfig {
+			t.Errorf("Parse(%q).Changes() = %v, want %v", e.Example, s.Changes(), e.ChangesConfig)
 		}
 	}
 }
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestBadStatements(t *testing.T) {
+func TestInvalidStatements(t *testing.T) {
 	for _, text := range []string{"", "running where", "drain e3", "rollback to", "refused since tomorrow", "running; drop"} {
 		if _, err := lang.Parse(text); !trace.IsBadParameter(err) {
 			t.Errorf("Parse(%q) error = %v, want a bad parameter", text, err)
