--- a/internal/check/check.go
+++ b/internal/check/check.go
@@ -1,5 +1,5 @@
-// Package check reads JSON with comments and checks it against a schema. Each
-// problem it reports names the line it stands on.
+// Package check parses JSON with comments and validates it against a schema. Each
+// reported problem has its line number.
 package check
 
 import (
@@ -17,16 +17,16 @@
 )
 
 type (
-	// Problem is one thing wrong with a document.
+	// Problem is one validation problem of a document.
 	Problem struct {
-		Line    int    // Line in the document, from 1.
+		Line    int    // Line in the document, starting at 1.
 		Path    string // Path is a JSON pointer to the value.
-		Message string // Message says what is wrong and what is allowed.
+		Message string // Message describes the problem and the allowed values.
 	}
 
 	// Error lists all problems of a document.
 	Error struct {
-		Name     string // Name of the document, such as a file's path.
+		Name     string // Name of the document, such as its file path.
 		Problems []Problem
 	}
 
@@ -36,7 +36,7 @@
 	}
 )
 
-// Error returns all problems, one on each line.
+// Error returns all problems, one per line.
 func (e *Error) Error() string {
 	lines := make([]string, 0, len(e.Problems))
 	for _, p := range e.Problems {
@@ -45,8 +45,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// MustCompile returns the compiled form of a schema that is part of the
-// program, and panics if the schema itself is wrong.
+// MustCompile compiles a schema that is embedded in the program, and panics if the
+// schema is invalid.
 func MustCompile(text []byte) *Schema {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
 	if err != nil {
@@ -63,8 +63,8 @@
 	return &Schema{schema: s}
 }
 
-// Read turns a document in JSON with comments into plain JSON and checks it.
-// The error is an *Error where the document is at fault.
+// Read converts a document from JSON with comments to plain JSON and validates it.
+// The error is an *Error if the document is invalid.
 func (s *Schema) Read(name string, text []byte) ([]byte, error) {
 	tree, err := hujson.Parse(text)
 	if err != nil {
@@ -86,17 +86,17 @@
 	return packed, nil
 }
 
-// Line returns the line on which the value at a JSON pointer stands, or 1.
+// Line returns the line of the value at a JSON pointer, or 1 if it is not found.
 func Line(text []byte, pointer string) int {
 	tree, err := hujson.Parse(text)
 	if err != nil {
 		return 1
 	}
-	return line(text, &tree, pointer)
+	return lineOf(text, &tree, pointer)
 }
 
-// line finds a pointer in a parsed document.
-func line(text []byte, tree *hujson.Value, pointer string) int {
+// lineOf returns the line of a JSON pointer in a parsed document, or 1.
+func lineOf(text []byte, tree *hujson.Value, pointer string) int {
 	v := tree.Find(pointer)
 	if v == nil {
 		return 1
@@ -104,7 +104,7 @@
 	return 1 + bytes.Count(text[:v.StartOffset], []byte("\n"))
 }
 
-// syntaxLine takes the line out of the parser's message, or returns 1.
+// syntaxLine extracts the line number from the parser's message, or returns 1.
 func syntaxLine(err error) int {
 	var n, col int
 	if _, e := fmt.Sscanf(err.Error(), "hujson: line %d, column %d", &n, &col); e != nil {
@@ -113,7 +113,7 @@
 	return n
 }
 
-// duplicateKeys reports the first key that stands twice in one object.
+// duplicateKeys reports the first duplicate key in an object.
 func duplicateKeys(name string, text []byte, tree *hujson.Value) error {
 	var found *Problem
 	for v := range tree.All() {
@@ -140,7 +140,7 @@
 	return &Error{Name: name, Problems: []Problem{*found}}
 }
 
-// problems turns a validation error into problems with lines.
+// problems converts a validation error to problems with line numbers.
 func (s *Schema) problems(name string, text []byte, tree *hujson.Value, err error) error {
 	verr, ok := err.(*jsonschema.ValidationError)
 	if !ok {
@@ -156,24 +156,24 @@
 		if len(e.Causes) > 0 {
 			return
 		}
-		pointer := pointerOf(e.InstanceLocation)
+		pointer := joinPointer(e.InstanceLocation)
 		msg := e.ErrorKind.LocalizedString(printer)
 		if extra, ok := e.ErrorKind.(*kind.AdditionalProperties); ok {
-			pointer += "/" + escape(extra.Properties[0])
-			msg = "unknown key; allowed are " + strings.Join(s.allowed(e.InstanceLocation), ", ")
+			pointer += "/" + escapePointer(extra.Properties[0])
+			msg = "unknown key; allowed are " + strings.Join(s.allowedKeys(e.InstanceLocation), ", ")
 		}
-		out.Problems = append(out.Problems, Problem{Line: line(text, tree, pointer), Path: pointer, Message: msg})
+		out.Problems = append(out.Problems, Problem{Line: lineOf(text, tree, pointer), Path: pointer, Message: msg})
 	}
 	walk(verr)
 	sort.SliceStable(out.Problems, func(i, j int) bool { return out.Problems[i].Line < out.Problems[j].Line })
 	return out
 }
 
-// allowed returns the keys that an object at a place may have, in order.
-func (s *Schema) allowed(path []string) []string {
+// allowedKeys returns the keys that the schema allows in the object at a path, sorted.
+func (s *Schema) allowedKeys(path []string) []string {
 	at := s.schema
 	for _, part := range path {
-		at = resolve(at)
+		at = resolveRefs(at)
 		switch next := at.Properties[part]; {
 		case next != nil:
 			at = next
@@ -182,36 +182,36 @@
 		}
 	}
 	var out []string
-	for key := range resolve(at).Properties {
+	for key := range resolveRefs(at).Properties {
 		out = append(out, key)
 	}
 	sort.Strings(out)
 	return out
 }
 
-// resolve follows references.
-func resolve(s *jsonschema.Schema) *jsonschema.Schema {
+// resolveRefs follows schema references.
+func resolveRefs(s *jsonschema.Schema) *jsonschema.Schema {
 	for s.Ref != nil {
 		s = s.Ref
 	}
 	return s
 }
 
-// pointerOf joins path parts to a JSON pointer.
-func pointerOf(parts []string) string {
+// joinPointer joins path elements into a JSON pointer.
+func joinPointer(parts []string) string {
 	var b strings.Builder
 	for _, p := range parts {
-		b.WriteString("/" + escape(p))
+		b.WriteString("/" + escapePointer(p))
 	}
 	return b.String()
 }
 
-// escape writes one part of a JSON pointer.
-func escape(part string) string {
+// escapePointer escapes one element of a JSON pointer.
+func escapePointer(part string) string {
 	return strings.NewReplacer("~", "~0", "/", "~1").Replace(part)
 }
 
-// Decode reads checked JSON into a value.
+// Decode decodes validated JSON into a value.
 func Decode(name string, plain []byte, into any) error {
 	if err := json.Unmarshal(plain, into); err != nil {
 		return fmt.Errorf("decode %s: %w", name, err)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
 // Package settings reads a node's settings file. The schema in
-// schema/settings.json holds each setting's default and its bounds.
+// schema/settings.json defines the default and the bounds of each setting.
 package settings
 
 import (
@@ -13,11 +13,11 @@
 	"github.com/croftturn/croftturn/schema"
 )
 
-// compiled returns the schema's compiled form, made when it is first needed.
-var compiled = sync.OnceValue(func() *check.Schema { return check.MustCompile(schema.Settings) })
+// settingsSchema returns the compiled schema; it is compiled on first use.
+var settingsSchema = sync.OnceValue(func() *check.Schema { return check.MustCompile(schema.Settings) })
 
-// Load reads and checks a settings file. A fault in the file comes as a
-// *check.Error that names each line.
+// Load reads and validates a settings file. An invalid file results in a
+// *check.Error with the line of each problem.
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -26,9 +26,9 @@
 	return Parse(path, text)
 }
 
-// Parse checks the text of a settings file and fills in the defaults.
+// Parse validates and decodes a settings file and fills in the defaults.
 func Parse(name string, text []byte) (*Settings, error) {
-	plain, err := compiled().Read(name, text)
+	plain, err := settingsSchema().Read(name, text)
 	if err != nil {
 		return nil, fmt.Errorf("check settings: %w", err)
 	}
@@ -36,7 +36,7 @@
 	if err := check.Decode(name, plain, s); err != nil {
 		return nil, err
 	}
-	if problems := s.problems(text); len(problems) > 0 {
+	if problems := s.validate(text); len(problems) > 0 {
 		return nil, &check.Error{Name: name, Problems: problems}
 	}
 	if s.PeerAdvertise == "" {
@@ -45,9 +45,9 @@
 	return s, nil
 }
 
-// problems finds what a schema can't say: bad IP addresses and settings that
-// contradict each other.
-func (s *Settings) problems(text []byte) []check.Problem {
+// validate checks what the schema cannot express: invalid IP addresses and settings
+// that contradict each other.
+func (s *Settings) validate(text []byte) []check.Problem {
 	var out []check.Problem
 	add := func(pointer, message string) {
 		out = append(out, check.Problem{Line: check.Line(text, pointer), Path: pointer, Message: message})
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -9,15 +9,15 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-const good = `{
-	// where it stands
+const validSettings = `{
+	// location
 	"instance": "n1", "hall": "h1", "region": "r1",
 	"caller_address": "127.0.0.1:1", "peer_address": "127.0.0.1:2", "admin_address": "127.0.0.1:3",
 	"platform_addresses": ["127.0.0.1:4"],
 }`
 
 func TestDefaultsAreFilledIn(t *testing.T) {
-	s, err := settings.Parse("s.json", []byte(good))
+	s, err := settings.Parse("s.json", []byte(validSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -26,9 +26,9 @@
 	}
 }
 
-// TestFaultsNameTheirLines compares the messages for faulty files with what is
-// kept beside the test.
-func TestFaultsNameTheirLines(t *testing.T) {
+// TestProblemsHaveLineNumbers compares the messages for invalid files with the
+// golden files.
+func TestProblemsHaveLineNumbers(t *testing.T) {
 	for name, text := range map[string]string{
 		"unknown_key":   "{\n  \"instance\": \"n1\", \"hall\": \"h\", \"region\": \"r\",\n  \"caller_address\": \"127.0.0.1:1\", \"peer_address\": \"127.0.0.1:2\", \"admin_address\": \"127.0.0.1:3\",\n  \"platform_addresses\": [\"x\"],\n  \"hartbeat_ms\": 3\n}",
 		"missing_keys":  "{\n  \"instance\": \"n1\"\n}",
@@ -39,19 +39,19 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := settings.Parse("s.json", []byte(text))
-			var fault *check.Error
-			if !errors.As(err, &fault) {
+			var invalid *check.Error
+			if !errors.As(err, &invalid) {
 				t.Fatalf("Parse() = %v, want a *check.Error", err)
 			}
-			goldie.New(t).Assert(t, name, []byte(fault.Error()+"\n"))
+			goldie.New(t).Assert(t, name, []byte(invalid.Error()+"\n"))
 		})
 	}
 }
 
-// TestFiguresMayHaveFractions holds that limits which a platform works out, such as a budget
-// for a part of a deployment, need not be whole: a node did not start with 49.2.
-func TestFiguresMayHaveFractions(t *testing.T) {
-	s, err := settings.Parse("s.json", []byte(good[:len(good)-1]+`"retry_extra": 49.2, "memory_mb": 133.5, "retry_share": 0.25}`))
+// TestLimitsMayBeFractional checks that limits computed by a platform, such as a budget
+// for a part of a deployment, need not be integers: a node failed to start with 49.2.
+func TestLimitsMayBeFractional(t *testing.T) {
+	s, err := settings.Parse("s.json", []byte(validSettings[:len(validSettings)-1]+`"retry_extra": 49.2, "memory_mb": 133.5, "retry_share": 0.25}`))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,4 +1,4 @@
-// Package wire holds the messages between nodes. The types are generated from
-// schema/messages.json; their names on the wire are short, because every node
-// pays for each byte.
+// Package wire defines the messages between nodes. The types are generated from
+// schema/messages.json; their encoded field names are short, because each byte
+// costs every node traffic.
 package wire
--- a/schema/schema.go
+++ b/schema/schema.go
@@ -1,6 +1,6 @@
-// Package schema holds the JSON schemas of settings, configuration and
-// messages. Go types are generated from them by `make generate`; the settings
-// and the configuration are checked against them when they are read.
+// Package schema contains the JSON schemas of settings, configuration and
+// messages. `make generate` generates Go types from them; settings and
+// configuration are validated against them when they are read.
 package schema
 
 import _ "embed"
