--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -121,14 +121,14 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	current, known := d.known[e.ID]
-	if known && current.born != 0 && e.Born == 0 {
+	if known && current.born != 0 && e.Incarnation == 0 {
 		return false, errStartMissing
 	}
-	if known && current.born != e.Born {
-		d.log.Info("engine restarted", "engine", e.ID, "born", e.Born, "before", current.born, "version", r.Version)
+	if known && current.born != e.Incarnation {
+		d.log.Info("engine restarted", "engine", e.ID, "born", e.Incarnation, "before", current.born, "version", r.Version)
 	}
-	if !known || current.born != e.Born {
-		current = incarnation{born: e.Born, firstVersion: r.Version}
+	if !known || current.born != e.Incarnation {
+		current = incarnation{born: e.Incarnation, firstVersion: r.Version}
 		d.leaving.Remove(e.ID)
 	}
 	current.draining = current.draining || e.Draining
@@ -136,7 +136,7 @@
 	if !current.learnedAt.IsZero() {
 		d.leaving.Add(e.ID)
 	}
-	e.Draining, e.Since = current.draining, current.firstVersion
+	e.Draining, e.SinceVersion = current.draining, current.firstVersion
 	delete(d.dropAt, e.ID)
 	if log {
 		d.log.Info("engine entry applied", "engine", e.ID, "pool", e.Pool, "address", e.Address, "hall", e.Hall, "draining", e.Draining, "version", r.Version)
--- a/internal/dispatch/line.go
+++ b/internal/dispatch/line.go
@@ -217,7 +217,7 @@
 // mayUseSlot reports whether the request may take a slot at an engine. Lower tiers leave the last
 // slots of a pool to the highest, because a running request keeps its slot for seconds.
 func (x *exchange) mayUseSlot(c placement.Choice) bool {
-	return c.Room && !(c.Last && !x.topTier)
+	return c.SlotAvailable && !(c.SlotsReserved && !x.topTier)
 }
 
 // retryAfter returns the retry delay for a caller that got no slot: as late as its remaining time
@@ -251,13 +251,13 @@
 func (x *exchange) pollForSlot(ctx context.Context, begin time.Time, q *queue, w *waiter, limit time.Duration, request placement.Request) bool {
 	for now := begin; now.Sub(begin) < limit && ctx.Err() == nil; now = clock.Now() {
 		if q.isHead(w) {
-			request.NeedRoom = now.Sub(begin) > preferredEngineWait
+			request.NeedSlot = now.Sub(begin) > preferredEngineWait
 			choice, ok := x.pickEngine(now, request)
 			if ok && x.mayUseSlot(choice) {
 				x.choice = choice
 				return true
 			}
-			if !ok && (choice.Engines == 0 || choice.Opens.Sub(begin) > limit) {
+			if !ok && (choice.Engines == 0 || choice.AvailableAt.Sub(begin) > limit) {
 				return false // No engine will have a slot in time.
 			}
 		}
--- a/internal/dispatch/line_test.go
+++ b/internal/dispatch/line_test.go
@@ -22,13 +22,13 @@
 
 // shedShareOf returns the share of requests of a tier that are shed.
 func shedShareOf(q *queue, now time.Time, tier int) float64 {
-	_, share := q.shedShare(now, tier, placement.Choice{Engines: 1, Free: 1, Scarce: true})
+	_, share := q.shedShare(now, tier, placement.Choice{Engines: 1, Usable: 1, SlotsScarce: true})
 	return share
 }
 
 // isTopTier reports whether the pool serves no tier above the given one.
 func isTopTier(q *queue, now time.Time, tier int) bool {
-	is, _ := q.shedShare(now, tier, placement.Choice{Engines: 1, Free: 1, Scarce: true})
+	is, _ := q.shedShare(now, tier, placement.Choice{Engines: 1, Usable: 1, SlotsScarce: true})
 	return is
 }
 
@@ -164,8 +164,8 @@
 			q.countOutcome(begin, tier, true, true)
 		}
 		q.peerStats["peer"] = peerReport{stats: peer.localStats(begin), at: begin}
-		_, middle := q.shedShare(begin, 1, placement.Choice{Engines: engines, Free: engines})
-		_, lowest := q.shedShare(begin, 2, placement.Choice{Engines: engines, Free: engines})
+		_, middle := q.shedShare(begin, 1, placement.Choice{Engines: engines, Usable: engines})
+		_, lowest := q.shedShare(begin, 2, placement.Choice{Engines: engines, Usable: engines})
 		if math.Abs(middle-c.wantMiddle) > 0.01 || math.Abs(lowest-c.wantLowest) > 0.01 {
 			t.Errorf("%s: %.2f of the middle tier and %.2f of the lowest are shed, want %.2f and %.2f", c.name, middle, lowest, c.wantMiddle, c.wantLowest)
 		}
@@ -181,7 +181,7 @@
 			for range 20 {
 				q.countOutcome(begin, 0, placed, false)
 			}
-			_, got := q.shedShare(begin, 1, placement.Choice{Engines: 1, Free: 1, Scarce: scarce})
+			_, got := q.shedShare(begin, 1, placement.Choice{Engines: 1, Usable: 1, SlotsScarce: scarce})
 			if want := scarce || !placed; (got == 1) != want {
 				t.Errorf("got slots: %v, scarce: %v: %.2f of a lower tier are shed", placed, scarce, got)
 			}
--- a/internal/dispatch/reading.go
+++ b/internal/dispatch/reading.go
@@ -27,10 +27,10 @@
 
 // prefillTime returns how long an engine takes to prefill the uncached part of a prompt.
 func prefillTime(c placement.Choice) time.Duration {
-	if c.Read <= 0 {
+	if c.PrefillRate <= 0 {
 		return 0
 	}
-	return time.Duration(float64(c.Unread) / c.Read * float64(time.Millisecond))
+	return time.Duration(float64(c.PrefillTokens) / c.PrefillRate * float64(time.Millisecond))
 }
 
 // prefillExcess returns the share of the requests of a tier whose prompts the engines of a pool
--- a/internal/dispatch/relay.go
+++ b/internal/dispatch/relay.go
@@ -36,7 +36,7 @@
 	x.recordHead(now, resp)
 	switch {
 	case resp.Replaced:
-		x.call.End(now, placement.Turned)
+		x.call.End(now, placement.Rejected)
 		x.d.placement.Remove(x.choice.Engine.ID)
 		return x.handleRejection(now, errors.New("engine address belongs to another engine now"))
 	case resp.NotRun:
@@ -100,9 +100,9 @@
 // rejectionOutcome returns the outcome that placement records for a rejection.
 func rejectionOutcome(resp *Response) placement.Outcome {
 	if resp.Rest > 0 {
-		return placement.Asked
+		return placement.Throttled
 	}
-	return placement.Turned
+	return placement.Rejected
 }
 
 // relayPlain relays a non-streamed answer; a short one is buffered completely first.
@@ -142,7 +142,7 @@
 
 // abortAnswer aborts the answer of a caller that left or could not be written to.
 func (x *exchange) abortAnswer(now time.Time) {
-	x.call.End(now, placement.Left)
+	x.call.End(now, placement.Aborted)
 	x.refusal = Refusal{Reason: CallerLeft}
 	x.answer.Abort()
 }
--- a/internal/dispatch/resend.go
+++ b/internal/dispatch/resend.go
@@ -56,13 +56,13 @@
 	call := x.call
 	end := func() { cancel(errEngineRestarted) }
 	call.OnLost(func() {
-		quiet := call.Quiet(clock.Now())
+		quiet := call.Idle(clock.Now())
 		if quiet >= restartSilence {
 			end()
 			return
 		}
 		time.AfterFunc(restartSilence-quiet, func() {
-			if call.Quiet(clock.Now()) >= restartSilence {
+			if call.Idle(clock.Now()) >= restartSilence {
 				end()
 			}
 		})
--- a/internal/dispatch/walk.go
+++ b/internal/dispatch/walk.go
@@ -161,7 +161,7 @@
 // accept requests again after a time, the caller should retry after it.
 func (x *exchange) refuseNoEngine(now time.Time, none placement.Choice) *Refusal {
 	reason := x.noEngineReason()
-	left := none.Opens.Sub(now)
+	left := none.AvailableAt.Sub(now)
 	if left <= 0 {
 		return &Refusal{Reason: reason, RetryAfter: shortRetryAfter}
 	}
@@ -182,9 +182,9 @@
 
 // placementRequest returns the input of placement.
 func (x *exchange) placementRequest() placement.Request {
-	r := placement.Request{Pool: x.pool, Prompt: x.req.Prompt, Avoid: x.tried, Lowest: x.route.Tier >= x.d.Table().LowestTier(x.pool)}
+	r := placement.Request{Pool: x.pool, Prompt: x.req.Prompt, Avoid: x.tried, LowestTier: x.route.Tier >= x.d.Table().LowestTier(x.pool)}
 	regions, everywhere := routing.Regions(x.route, x.team)
-	r.Regions, r.Bound = regions, !everywhere
+	r.Regions, r.RegionBound = regions, !everywhere
 	pool := x.d.Table().Pool(x.pool)
 	if x.route.Kind == routing.Stream && pool != nil && pool.Model != nil {
 		r.MaxGap, r.TokensPerEvent = x.route.MaxGap, pool.Model.TokensPerEvent
@@ -202,11 +202,11 @@
 	wait := time.Duration(c.Wait * float64(time.Millisecond))
 	q := x.d.queues.of(now, x.pool)
 	r := admission.Request{
-		Tier: x.tier(), Target: x.route.Target, Timeout: x.route.Timeout, Left: x.deadline.Sub(now), Wait: wait,
-		Pressure: q.pressure.Note(now, wait, x.route.Target),
+		Tier: x.tier(), Target: x.route.Target, Timeout: x.route.Timeout, Remaining: x.deadline.Sub(now), Wait: wait,
+		Pressure: q.pressure.Observe(now, wait, x.route.Target),
 	}
 	if limit, bounded := r.Limit(); bounded {
-		r.Most = q.admissionLimit(routing.Urgency(x.route, x.team), limit)
+		r.LimitCap = q.admissionLimit(routing.Urgency(x.route, x.team), limit)
 	}
 	return admission.Decide(r)
 }
@@ -221,7 +221,7 @@
 // requests for more urgent ones, which delays the streams of the preempted and repeats their
 // prefill. Which request gets a slot has been decided by this node.
 func (x *exchange) urgency() int {
-	if x.choice.Scarce {
+	if x.choice.SlotsScarce {
 		return x.d.Table().LastUrgency(x.pool)
 	}
 	return routing.Urgency(x.route, x.team)
@@ -292,7 +292,7 @@
 		x.maxGap = max(x.maxGap, now.Sub(x.lastByteAt))
 	}
 	x.lastByteAt = now
-	x.call.Heard(now)
+	x.call.Received(now)
 }
 
 // recordEnd records how the request ended.
@@ -300,8 +300,8 @@
 	outcome := x.outcome()
 	x.d.log.Info("request ended", "request", x.req.ID, "route", x.route.Name, "team", x.teamName(), "urgency", routing.Urgency(x.route, x.team), "pool", x.pool,
 		"outcome", outcome, "status", x.status, "engine", x.choice.Engine.ID, "sent", x.sent, "unsent", x.unreachable,
-		"cost_ms", int(x.choice.Cost), "wait_ms", int(x.choice.Wait), "held_ms", x.queuedFor.Milliseconds(), "give_way", math.Round(100*x.shedShare)/100, "prompt_tokens", x.req.Prompt.Tokens, "session", x.req.Prompt.Session(), "unread_tokens", x.choice.Unread,
-		"ahead_tokens", x.choice.Ahead, "read_rate", math.Round(10*x.choice.Read)/10, "tight", x.choice.Tight,
+		"cost_ms", int(x.choice.Cost), "wait_ms", int(x.choice.Wait), "held_ms", x.queuedFor.Milliseconds(), "give_way", math.Round(100*x.shedShare)/100, "prompt_tokens", x.req.Prompt.Tokens, "session", x.req.Prompt.Session(), "unread_tokens", x.choice.PrefillTokens,
+		"ahead_tokens", x.choice.QueuedTokens, "read_rate", math.Round(10*x.choice.PrefillRate)/10, "tight", x.choice.GapSensitive,
 		"first_ms", x.firstByte.Milliseconds(), "gap_ms", x.maxGap.Milliseconds(), "total_ms", now.Sub(x.arrived).Milliseconds(), "patience_ms", x.deadline.Sub(x.arrived).Milliseconds(),
 		"engine_limit", x.engineLimit, "permit_ms", x.permitWait.Milliseconds(), "opens_ms", x.capacityDelay.Milliseconds(), "target_ms", x.route.Target.Milliseconds(), "longest_gap_ms", x.route.MaxGap.Milliseconds(),
 		"come_back_ms", x.refusal.RetryAfter.Milliseconds(), "config_version", x.d.Version(), "proof_age_ms", x.d.proof.AgeMs(now))
--- a/internal/duty/hold.go
+++ b/internal/duty/hold.go
@@ -28,7 +28,7 @@
 			continue
 		}
 		backoff.Reset()
-		pause.Woken(ctx, wait, d.wake)
+		pause.ForOrWake(ctx, wait, d.wake)
 	}
 }
 
@@ -245,7 +245,7 @@
 	defer d.mu.Unlock()
 	var all []scaling.Order
 	for _, pool := range slices.Sorted(maps.Keys(d.scalers)) { // Sorted, so that the row changes only if the orders do.
-		all = append(all, d.scalers[pool].All()...)
+		all = append(all, d.scalers[pool].Orders()...)
 	}
 	if text, err := json.Marshal(all); err == nil && len(all) > 0 && string(text) != d.storedOrders {
 		rows = append(rows, feed.Row{Key: keyOrders, Value: text})
--- a/internal/gossip/hubs_test.go
+++ b/internal/gossip/hubs_test.go
@@ -189,7 +189,7 @@
 			node.state.Rate = 60
 			node.state.Loads = map[string]placement.Load{}
 			for i := range 25 {
-				node.state.Loads[fmt.Sprintf("i-%010d", i)] = placement.Load{Unread: 4000, InFlight: 2}
+				node.state.Loads[fmt.Sprintf("i-%010d", i)] = placement.Load{PrefillTokens: 4000, InFlight: 2}
 			}
 		}
 	}
