--- a/internal/member/service.go
+++ b/internal/member/service.go
@@ -156,9 +156,10 @@
 	return reply, nil
 }
 
-// replyMembers returns the members to send to the sender of a heartbeat: recent
-// changes if its table differs, or the whole table if the sender is unknown, suspect
-// or dead, if no other member is known, or if a full sync is due.
+// replyMembers returns the members to send to the sender of a heartbeat: the
+// whole table if the sender is unknown, suspect or dead, or no other member is known;
+// if its table differs, the whole table at most once per fullSyncInterval and
+// otherwise recent changes.
 func (s *Service) replyMembers(now time.Time, hb *wire.Heartbeat) []wire.Member {
 	m, known := s.table.Member(hb.From)
 	unknownOrSuspect := !known || m.State == wire.MemberStateD || m.State == wire.MemberStateS
--- a/internal/member/table.go
+++ b/internal/member/table.go
@@ -48,7 +48,7 @@
 		self       wire.Member
 		entries    map[string]*entry
 		changed    chan struct{}
-		watchStale bool // watchStale is set when members were added or removed since updateWatched.
+		watchStale bool // watchStale is set when members were added or removed since the last updateWatched.
 		hash       int  // hash is the cached digest of the table; 0 if it must be recomputed.
 	}
 )
--- a/internal/member/table_test.go
+++ b/internal/member/table_test.go
@@ -75,7 +75,7 @@
 
 // TestFailureIsDetectedFromTheFirstMiss guards against observers that begin to watch
 // a member only at its first missed heartbeat: failures were then detected after
-// 3.4 s instead of 2.
+// 3.4 s instead of 2 s.
 func TestFailureIsDetectedFromTheFirstMiss(t *testing.T) {
 	m := newCluster(9)
 	for range 10 {
