--- a/internal/member/table.go
+++ b/internal/member/table.go
@@ -1,6 +1,7 @@
-// Package member keeps the list of nodes that live, by heartbeats to a few
-// observers each. A member that its observers miss is suspect; it is dead when
-// most of them agree. What is known spreads with the heartbeats.
+// Package member maintains the list of live nodes. Each node sends heartbeats to a
+// few observers. A member whose heartbeats an observer misses is suspect; it is dead
+// once a majority of its observers agree. Changes spread by gossip with the
+// heartbeats.
 package member
 
 import (
@@ -14,53 +15,53 @@
 )
 
 const (
-	// tombstoneLife is how long a dead member is remembered, so that late news
-	// of it does not bring it back.
-	tombstoneLife = time.Minute
+	// tombstoneTTL is how long a dead member is kept, so that a late update does
+	// not add it again.
+	tombstoneTTL = time.Minute
 
-	// newsLife is how many heartbeats a change rides on.
-	newsLife = 5
+	// changeRounds is for how many heartbeat intervals a change is gossiped.
+	changeRounds = 5
 )
 
 type (
-	// Options are the times and numbers of the protocol.
+	// Options are the parameters of the protocol.
 	Options struct {
 		Heartbeat time.Duration // Heartbeat is the time between two heartbeats.
-		Suspect   time.Duration // Suspect is how long an observer waits for one.
+		Suspect   time.Duration // Suspect is how long an observer waits for a heartbeat.
 		Observers int           // Observers is how many peers watch each member.
 	}
 
-	// entry is one member with what this node observed of it.
+	// entry is a member with this node's observations of it.
 	entry struct {
 		wire.Member
-		changed time.Time // changed is when this node last learned something new.
-		heard   time.Time // heard is when a heartbeat last came, or when watching began.
-		watched bool      // watched says that this node is one of its observers.
+		lastChange    time.Time // lastChange is when the member's state here last changed.
+		lastHeartbeat time.Time // lastHeartbeat is when a heartbeat last came, or the time a new watch counts from.
+		watched       bool      // watched says that this node is one of its observers.
 	}
 
-	// Table is what one node knows of all members. Its methods may be called
-	// from many goroutines; all that decide take the present time.
+	// Table is one node's view of all members. Its methods may be called from many
+	// goroutines; methods that depend on time take the current time.
 	Table struct {
 		opts Options
 
-		mu      sync.Mutex
-		self    wire.Member
-		entries map[string]*entry
-		changed chan struct{}
-		moved   bool // moved says that members came or went since rewatch.
-		hash    int  // hash is the digest of the table; 0 where it is to be worked out.
+		mu         sync.Mutex
+		self       wire.Member
+		entries    map[string]*entry
+		changed    chan struct{}
+		watchStale bool // watchStale is set when members were added or removed since the last updateWatched.
+		hash       int  // hash is the cached digest of the table; 0 if it must be recomputed.
 	}
 )
 
-// NewTable returns a table that knows only this node itself.
+// NewTable returns a table that contains only this node.
 func NewTable(now time.Time, self wire.Member, opts Options) *Table {
 	self.State = wire.MemberStateA
 	t := &Table{opts: opts, self: self, entries: map[string]*entry{}, changed: make(chan struct{})}
-	t.entries[self.Name] = &entry{Member: self, changed: now, heard: now}
+	t.entries[self.Name] = &entry{Member: self, lastChange: now, lastHeartbeat: now}
 	return t
 }
 
-// Self returns what this node says of itself.
+// Self returns this node's own member record.
 func (t *Table) Self() wire.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -79,49 +80,49 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.self.State = wire.MemberStateL
-	t.speak(now)
+	t.raiseRevision(now)
 }
 
-// speak raises the revision of what this node says of itself.
-func (t *Table) speak(now time.Time) {
+// raiseRevision stores this node's own record under a new revision.
+func (t *Table) raiseRevision(now time.Time) {
 	t.self.Revision++
 	t.self.SuspectedBy = nil
-	t.set(now, t.self)
+	t.store(now, t.self)
 }
 
-// set stores a member and tells those who wait for changes.
-func (t *Table) set(now time.Time, m wire.Member) {
+// store stores a member and closes the channel that Changed returned.
+func (t *Table) store(now time.Time, m wire.Member) {
 	e := t.entries[m.Name]
 	if e == nil {
-		e = &entry{heard: now}
+		e = &entry{lastHeartbeat: now}
 		t.entries[m.Name] = e
-		t.moved = true
+		t.watchStale = true
 	}
 	if (e.State == wire.MemberStateD) != (m.State == wire.MemberStateD) {
-		e.heard = now
-		t.moved = true
+		e.lastHeartbeat = now
+		t.watchStale = true
 	}
 	e.Member = m
-	e.changed = now
+	e.lastChange = now
 	t.hash = 0
 	close(t.changed)
 	t.changed = make(chan struct{})
 }
 
-// Merge takes news of members and returns whether any of it was new.
-func (t *Table) Merge(now time.Time, news []wire.Member) bool {
+// Merge merges member records and reports whether any of them was new.
+func (t *Table) Merge(now time.Time, members []wire.Member) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	fresh := false
-	for _, m := range news {
+	changed := false
+	for _, m := range members {
 		if t.mergeOne(now, m) {
-			fresh = true
+			changed = true
 		}
 	}
-	return fresh
+	return changed
 }
 
-// mergeOne takes news of one member.
+// mergeOne merges the record of one member.
 func (t *Table) mergeOne(now time.Time, m wire.Member) bool {
 	if m.Name == t.self.Name {
 		return t.mergeSelf(now, m)
@@ -131,12 +132,12 @@
 		if m.State == wire.MemberStateD {
 			return false
 		}
-		t.set(now, m)
+		t.store(now, m)
 		return true
 	}
 	switch compare(m, e.Member) {
 	case newer:
-		t.set(now, m)
+		t.store(now, m)
 		return true
 	case same:
 		return t.mergeSuspicion(now, e, m)
@@ -144,28 +145,29 @@
 	return false
 }
 
-// mergeSelf answers what others say of this node: a suspicion or a death is
-// contradicted, and a later incarnation of the same name is not taken over.
+// mergeSelf handles a record of this node from others: it refutes a suspicion or a
+// death with a higher revision, and a later incarnation with a higher incarnation.
 func (t *Table) mergeSelf(now time.Time, m wire.Member) bool {
 	if m.Incarnation < t.self.Incarnation {
 		return false
 	}
 	if m.Incarnation > t.self.Incarnation {
-		// An earlier process with a faster clock: speak above it.
+		// An earlier process had a faster clock: choose a higher incarnation.
 		t.self.Incarnation = m.Incarnation + 1
-		t.speak(now)
+		t.raiseRevision(now)
 		return true
 	}
-	doubted := m.State == wire.MemberStateS || m.State == wire.MemberStateD
-	if doubted && m.Revision >= t.self.Revision {
+	suspected := m.State == wire.MemberStateS || m.State == wire.MemberStateD
+	if suspected && m.Revision >= t.self.Revision {
 		t.self.Revision = m.Revision
-		t.speak(now)
+		t.raiseRevision(now)
 		return true
 	}
 	return false
 }
 
-// mergeSuspicion joins the observers that miss a member.
+// mergeSuspicion adds the observers that suspect a member, and takes over a worse
+// state.
 func (t *Table) mergeSuspicion(now time.Time, e *entry, m wire.Member) bool {
 	added := false
 	next := e.Member
@@ -175,29 +177,29 @@
 			added = true
 		}
 	}
-	if rank(m.State) > rank(next.State) {
+	if stateRank(m.State) > stateRank(next.State) {
 		next.State = m.State
 		added = true
 	}
 	if !added {
 		return false
 	}
-	t.set(now, next)
-	t.decide(now, t.entries[m.Name])
+	t.store(now, next)
+	t.declareIfDead(now, t.entries[m.Name])
 	return true
 }
 
-// order is the result of comparing two states of one member.
-type order int
+// ordering is the result of comparing two records of one member.
+type ordering int
 
 const (
-	older order = iota
+	older ordering = iota
 	same
 	newer
 )
 
-// compare tells whether news a of a member is newer than b.
-func compare(a, b wire.Member) order {
+// compare reports whether record a of a member is older or newer than b.
+func compare(a, b wire.Member) ordering {
 	switch {
 	case a.Incarnation != b.Incarnation:
 		if a.Incarnation > b.Incarnation {
@@ -213,8 +215,8 @@
 	return same
 }
 
-// rank orders states within one revision.
-func rank(s wire.MemberState) int {
+// stateRank orders the states within one revision; the higher one wins.
+func stateRank(s wire.MemberState) int {
 	switch s {
 	case wire.MemberStateD:
 		return 2
@@ -224,20 +226,21 @@
 	return 0
 }
 
-// News returns the members that changed lately.
-func (t *Table) News(now time.Time) []wire.Member {
+// RecentChanges returns the members that changed in the last changeRounds heartbeat
+// intervals.
+func (t *Table) RecentChanges(now time.Time) []wire.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []wire.Member
 	for _, e := range t.entries {
-		if now.Sub(e.changed) < newsLife*t.opts.Heartbeat {
+		if now.Sub(e.lastChange) < changeRounds*t.opts.Heartbeat {
 			out = append(out, e.Member)
 		}
 	}
 	return out
 }
 
-// All returns all members, dead ones included, in the order of their names.
+// All returns all members, including dead ones, sorted by name.
 func (t *Table) All() []wire.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -249,7 +252,7 @@
 	return out
 }
 
-// Live returns the members that are not dead, in the order of their names.
+// Live returns the members that are not dead, sorted by name.
 func (t *Table) Live() []wire.Member {
 	all := t.All()
 	out := all[:0]
@@ -261,7 +264,7 @@
 	return out
 }
 
-// Member returns one member, or false where it is not known.
+// Member returns a member by name, or false if it is unknown.
 func (t *Table) Member(name string) (wire.Member, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -272,7 +275,8 @@
 	return e.Member, true
 }
 
-// Hash returns a digest of the table, by which two nodes see that they differ.
+// Hash returns a digest of the table; two nodes compare it to detect differences.
+// Dead members are left out.
 func (t *Table) Hash() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -291,7 +295,7 @@
 	return t.hash
 }
 
-// Len returns how many members are known, dead ones included.
+// Len returns the number of known members, including dead ones.
 func (t *Table) Len() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
