--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -23,23 +23,23 @@
 var now = time.Unix(1000, 0)
 
 type (
-	// table is a table in memory whose writes fail on command.
-	table struct {
+	// faultyTable is an in-memory table with injected write faults.
+	faultyTable struct {
 		mu   sync.Mutex
 		rows map[string]kv.Row
-		// faults are what becomes of the next writes: "" for nothing, "lost" for an
-		// answer that is lost after the write, "dropped" for one that is lost before.
+		// faults are the faults of the next writes: "" for none, "lost" if the reply
+		// is lost after the write took effect, "dropped" if the write never arrives.
 		faults []string
 	}
 
-	// nobody is no peers.
-	nobody struct{}
+	// noPeers is a Peers without any peer.
+	noPeers struct{}
 )
 
-// TestMain fixes the seed of the random checks, so that each run gives the same
-// verdict; -rapid.seed on the command line goes before it.
+// TestMain fixes the seed of the property tests, so that runs are repeatable;
+// -rapid.seed on the command line overrides it.
 func TestMain(m *testing.M) {
-	// Each check waits out some writes, so that a few dozen are enough.
+	// Each check waits for the backoff of retried writes, so only a few dozen run.
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "25"} {
 		if err := flag.Set(name, value); err != nil {
 			panic(err)
@@ -48,20 +48,20 @@
 	os.Exit(m.Run())
 }
 
-// Changes fails, as there are no peers.
-func (nobody) Changes(context.Context, int) ([]*wire.ChangesReply, error) {
+// Changes always fails.
+func (noPeers) Changes(context.Context, int) ([]*wire.ChangesReply, error) {
 	return nil, errors.New("no peers")
 }
 
 // Get reads a row.
-func (t *table) Get(_ context.Context, key string) (kv.Row, error) {
+func (t *faultyTable) Get(_ context.Context, key string) (kv.Row, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.rows[key], nil
 }
 
 // List reads rows by prefix.
-func (t *table) List(_ context.Context, prefix, after string, limit int) ([]kv.Row, error) {
+func (t *faultyTable) List(_ context.Context, prefix, after string, limit int) ([]kv.Row, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []kv.Row
@@ -74,8 +74,8 @@
 	return out[:min(limit, len(out))], nil
 }
 
-// Transact checks and writes rows, or fails as the next fault says.
-func (t *table) Transact(_ context.Context, txn kv.Txn) error {
+// Transact runs a transaction with the next injected fault.
+func (t *faultyTable) Transact(_ context.Context, txn kv.Txn) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	fault := ""
@@ -99,33 +99,33 @@
 	return nil
 }
 
-// keeper returns a keeper of a node on a table, and its store.
-func keeper(tab *table) (*config.Keeper, *config.Store) {
+// newSyncer returns the Syncer of a node that uses a table, and its store.
+func newSyncer(tab *faultyTable) (*config.Syncer, *config.Store) {
 	s := config.NewStore()
-	return config.NewKeeper(s, tab, nobody{}, slog.New(slog.DiscardHandler)), s
+	return config.NewSyncer(s, tab, noPeers{}, slog.New(slog.DiscardHandler)), s
 }
 
-// setWeight makes a change.
-func setWeight(k *config.Keeper, id string, weight int) (wire.Change, error) {
+// setWeight writes a change of a team's weight.
+func setWeight(k *config.Syncer, id string, weight int) (wire.Change, error) {
 	token := config.HashToken("t")
 	return k.Write(context.Background(), now, id, "op", "set", config.SetFields(wire.EntityKindTeam, "alfa", []config.Field{
 		{Name: "weight", Value: []byte(fmt.Sprint(weight))}, {Name: "token_sha256", Value: []byte(`"` + token + `"`)},
 	}))
 }
 
-// TestChangesUnderFaults makes changes at two nodes with answers lost and writes
-// dropped, drawn at random: what was accepted is in the history once, under its
-// version; what was refused is not; and no store goes back.
+// TestChangesUnderFaults writes changes at two nodes with random lost replies and
+// dropped writes. Accepted changes must be in the history exactly once, under their
+// version, rejected ones not at all, and no store's version may decrease.
 func TestChangesUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		tab := &table{rows: map[string]kv.Row{}}
-		k1, s1 := keeper(tab)
-		k2, s2 := keeper(tab)
+		tab := &faultyTable{rows: map[string]kv.Row{}}
+		k1, s1 := newSyncer(tab)
+		k2, s2 := newSyncer(tab)
 		accepted := map[string]int{}
 		highest := map[*config.Store]int{}
 		for i := range 8 {
 			tab.faults = rapid.SliceOfN(rapid.SampledFrom([]string{"", "lost", "dropped"}), 0, 2).Draw(t, "faults")
-			k := rapid.SampledFrom([]*config.Keeper{k1, k2}).Draw(t, "node")
+			k := rapid.SampledFrom([]*config.Syncer{k1, k2}).Draw(t, "node")
 			id := fmt.Sprint("c", i)
 			ch, err := setWeight(k, id, i+1)
 			if err != nil {
@@ -152,11 +152,11 @@
 }
 
 func TestConflictWritesNothing(t *testing.T) {
-	tab := &table{rows: map[string]kv.Row{}}
-	k, _ := keeper(tab)
-	other, _ := keeper(tab)
+	tab := &faultyTable{rows: map[string]kv.Row{}}
+	k, _ := newSyncer(tab)
+	other, _ := newSyncer(tab)
 	_, err := k.Write(context.Background(), now, "mine", "op", "race", func(c *config.Config) error {
-		_, err := setWeight(other, "theirs", 3) // Another operator comes between.
+		_, err := setWeight(other, "theirs", 3) // A concurrent change by another operator.
 		return err
 	})
 	if !trace.IsCompareFailed(err) {
@@ -168,9 +168,9 @@
 	}
 }
 
-func TestUndoIsANewVersion(t *testing.T) {
-	tab := &table{rows: map[string]kv.Row{}}
-	k, s := keeper(tab)
+func TestUndoCreatesNewVersion(t *testing.T) {
+	tab := &faultyTable{rows: map[string]kv.Row{}}
+	k, s := newSyncer(tab)
 	for i := range 4 {
 		if _, err := setWeight(k, fmt.Sprint(i), i+1); err != nil {
 			t.Fatal(err)
@@ -186,9 +186,9 @@
 	}
 }
 
-// TestStoreTakesOnlyNewer holds that old configurations and changes, whoever
-// brings them, do nothing, and that a gap is an error.
-func TestStoreTakesOnlyNewer(t *testing.T) {
+// TestStoreAcceptsOnlyNewerVersions checks that old configurations and changes have no
+// effect, whatever their source, and that a gap in the versions is an error.
+func TestStoreAcceptsOnlyNewerVersions(t *testing.T) {
 	s := config.NewStore()
 	for version, want := range map[int]bool{5: true, 4: false} {
 		if version == 4 {
@@ -207,15 +207,15 @@
 	if err := s.Apply([]wire.Change{{Version: 8}}); !trace.IsCompareFailed(err) || s.Version() != 6 {
 		t.Errorf("Apply(8) = %v, version %d", err, s.Version())
 	}
-	if changes, known := s.After(5); !known || len(changes) != 1 {
+	if changes, known := s.ChangesAfter(5); !known || len(changes) != 1 {
 		t.Errorf("After(5) = %v, %v", changes, known)
 	}
-	if _, known := s.After(2); known {
+	if _, known := s.ChangesAfter(2); known {
 		t.Error("After(2) is known though the store began at 5")
 	}
 }
 
-func TestContradictionsAreRefused(t *testing.T) {
+func TestContradictionsAreRejected(t *testing.T) {
 	team := config.Team{Name: "a", TokenSha256: config.HashToken("a")}
 	for name, c := range map[string]*config.Config{
 		"team twice":     {Teams: []config.Team{team, team}},
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -44,7 +44,7 @@
 	table    *member.Table
 	members  *member.Service
 	store    *config.Store
-	keeper   *config.Keeper
+	keeper   *config.Syncer
 	journal  *journal.Journal
 	watcher  *engine.Watcher
 	direct   *sched.Direct
@@ -115,7 +115,7 @@
 	}
 	n.table = member.NewTable(now, self, member.Options{Heartbeat: ms(s.HeartbeatMs), Suspect: ms(s.SuspectMs), Observers: s.Observers})
 	n.store = config.NewStore()
-	n.keeper = config.NewKeeper(n.store, n.platform, n, log)
+	n.keeper = config.NewSyncer(n.store, n.platform, n, log)
 	n.members = member.NewService(n.table, n.client, n.store, n.keeper.Wake, n.seeds, log)
 	n.journal = journal.New()
 	n.watcher = engine.NewWatcher()
@@ -135,7 +135,7 @@
 		front.WithLimits(front.Limits{MaxBody: int64(s.MaxBodyBytes), WriteTimeout: ms(s.WriteTimeoutMs), EntryKeep: ms(s.EntryKeepMs)}),
 	)
 	n.admin = admin.New(n.store, n.keeper, n.table, n.client, n, log,
-		admin.WithBootstrap(s.BootstrapTokenSha256), admin.WithAccepted(n.members.Kick),
+		admin.WithBootstrap(s.BootstrapTokenSha256), admin.WithAccepted(n.members.SendNow),
 		admin.WithReady(n.Ready), admin.WithMetrics(n.tele.Metrics),
 	)
 	n.handlePeers()
@@ -143,7 +143,7 @@
 
 // handlePeers sets which methods peers may call.
 func (n *Node) handlePeers() {
-	n.server.Handle(member.MethodHeartbeat, peer.Typed(n.members.Answer))
+	n.server.Handle(member.MethodHeartbeat, peer.Typed(n.members.HandleHeartbeat))
 	n.server.Handle(broker.MethodAcquire, peer.Typed(n.brokers.Acquire))
 	n.server.Handle(broker.MethodRelease, peer.Typed(n.brokers.Release))
 	n.server.Handle(broker.MethodCancel, peer.Typed(n.brokers.Cancel))
@@ -153,7 +153,7 @@
 	n.server.Handle(front.MethodRun, peer.Typed(n.front.AnswerRun))
 	n.server.Handle(claim.MethodClaims, peer.Typed(n.claims.HandleClaims))
 	n.server.Handle(methodChanges, peer.Typed(func(_ context.Context, r *wire.ChangesRequest) (any, error) {
-		return n.keeper.Answer(r.After)
+		return n.keeper.ChangesReply(r.After)
 	}))
 	n.server.Handle(admin.MethodQuery, peer.Typed(func(_ context.Context, q *wire.QueryRequest) (any, error) {
 		return &wire.QueryReply{Rows: n.Rows(clock.Now(), q)}, nil
