--- a/internal/sched/shared_test.go
+++ b/internal/sched/shared_test.go
@@ -78,7 +78,7 @@
 	for waiting := 0; waiting < 2; waiting = s.Waiting("llm") {
 		select {
 		case a := <-answers:
-			t.Fatalf("the request of class %s ended beyond the share of two slots: %v", a.class, a.err)
+			t.Fatalf("the request of class %s did not wait while both slots of the share were taken: %v", a.class, a.err)
 		default:
 		}
 	}
