--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -108,7 +108,7 @@
 		}
 	}
 	if !logEach {
-		d.log.Info("engine entries applied", "taken", taken, "draining", draining, "refused", refused, "rows", len(rows))
+		d.log.Info("engines", "taken", taken, "draining", draining, "refused", refused, "rows", len(rows))
 	}
 }
 
@@ -139,7 +139,7 @@
 	e.Draining, e.SinceVersion = current.draining, current.firstVersion
 	delete(d.dropAt, e.ID)
 	if log {
-		d.log.Info("engine entry applied", "engine", e.ID, "pool", e.Pool, "address", e.Address, "hall", e.Hall, "draining", e.Draining, "version", r.Version)
+		d.log.Info("engine", "engine", e.ID, "pool", e.Pool, "address", e.Address, "hall", e.Hall, "draining", e.Draining, "version", r.Version)
 	}
 	d.engines.Set(e)
 	return e.Draining, nil
@@ -186,7 +186,7 @@
 	for id, at := range d.dropAt {
 		if !now.Before(at) {
 			delete(d.dropAt, id)
-			d.remove(id, "its entry did not come back after the store was unavailable")
+			d.remove(id, "its entry did not come back after the store was away")
 		}
 	}
 }
--- a/internal/dispatch/permit.go
+++ b/internal/dispatch/permit.go
@@ -86,7 +86,7 @@
 func (x *exchange) requestPermit(ctx context.Context, now time.Time, longest time.Duration) bool {
 	engine := x.choice.Engine
 	permit := x.d.permits.Take(ctx, now, engine.Hall, engine.ID, longest)
-	x.d.log.Info("permit requested", "request", x.req.ID, "engine", engine.ID, "issued", permit.Issued, "wait_ms", permit.Wait.Milliseconds(), "longest_ms", longest.Milliseconds(),
+	x.d.log.Info("permit", "request", x.req.ID, "engine", engine.ID, "issued", permit.Issued, "wait_ms", permit.Wait.Milliseconds(), "longest_ms", longest.Milliseconds(),
 		"rate", permit.Rate, "age_ms", permit.Age.Milliseconds())
 	if permit.Issued {
 		x.permitWait += permit.Wait
