--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -17,8 +17,9 @@
 	// ErrUnreachable is returned if no connection to a peer could be opened; nothing was sent.
 	ErrUnreachable = errors.New("peer: not reachable")
 
-	// ErrIdleTimeout is returned if nothing came from a peer within the client's idle timeout.
-	ErrIdleTimeout = errors.New("peer: no data received within the idle timeout")
+	// ErrIdleTimeout is returned if nothing came from a peer within the client's idle timeout. Its text
+	// may be part of an answer to a caller.
+	ErrIdleTimeout = errors.New("peer: silent")
 )
 
 type (
