--- a/internal/dispatch/walk.go
+++ b/internal/dispatch/walk.go
@@ -41,7 +41,7 @@
 	retryReserved atomic.Bool // retryReserved is set if a retry was taken from the budget and not used yet
 	mayHaveRun    bool        // mayHaveRun is set if an engine got the request and did not report that it did not run it
 	topTier       bool        // topTier is set if the request is of the highest tier that its pool serves
-	shedShare     float64     // shedShare is the share of requests of its tier that were shed when it arrived
+	shedShare     float64     // shedShare is the share of requests of its tier refused on arrival because tiers above lack slots
 	headReceived  bool        // headReceived is set once the current engine has sent the head of its answer
 	answerBegun   bool        // answerBegun is set once the answer to the caller has begun
 	sentAt        time.Time   // sentAt is when the request was last sent
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -16,7 +16,7 @@
 	subject = quarantine.Subject{Team: "t", Route: "r"}
 )
 
-// never lets this node send no trial.
+// never refuses every trial.
 func never(time.Time, quarantine.Fingerprint) bool { return false }
 
 // newQuarantine returns an empty quarantine.
