--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -132,8 +132,8 @@
 	return e, err
 }
 
-// TestRestartedEngineGetsWork checks that an engine that was leaving gets work again after a restart, that Since is the
-// version of the incarnation's first entry, and that later entries of the incarnation don't change it. Incarnations are
+// TestRestartedEngineGetsWork checks that an engine that was leaving gets work again after a restart, that SinceVersion is
+// the version of the incarnation's first entry, and that later entries of the incarnation don't change it. Incarnations are
 // compared for equality only, not by order.
 func TestRestartedEngineGetsWork(t *testing.T) {
 	got := engineStates{}
--- a/internal/dispatch/crashes.go
+++ b/internal/dispatch/crashes.go
@@ -22,9 +22,9 @@
 	return func(d *Dispatcher) { d.quarantine = q }
 }
 
-// refuseQuarantined returns the refusal of a quarantined request, or nil if the request may be
-// sent.
-func (x *exchange) refuseQuarantined(now time.Time) *Refusal {
+// refuseHeld returns the refusal of a request that is held in the quarantine, or nil if the request
+// may be sent.
+func (x *exchange) refuseHeld(now time.Time) *Refusal {
 	if x.d.quarantine == nil || x.trial {
 		return nil
 	}
@@ -34,7 +34,7 @@
 		return nil
 	}
 	first, newest := held.Crashes[0], held.Crashes[len(held.Crashes)-1]
-	x.d.log.Info("quarantined request refused", "request", x.req.ID, "fingerprint", held.Fingerprint.String(), "team", held.Team, "route", held.Route, "engines", held.Engines(),
+	x.d.log.Info("held request refused", "request", x.req.ID, "fingerprint", held.Fingerprint.String(), "team", held.Team, "route", held.Route, "engines", held.Engines(),
 		"since_ms", now.Sub(first.At).Milliseconds(), "newest_ms", now.Sub(newest.At).Milliseconds(), "trial_in_ms", held.TrialAt.Sub(now).Milliseconds())
 	return &Refusal{Reason: x.unlessMayHaveRun(CrashesEngines)}
 }
--- a/internal/dispatch/crashes_test.go
+++ b/internal/dispatch/crashes_test.go
@@ -14,9 +14,9 @@
 	"github.com/croftturn/croftturn/internal/retry"
 )
 
-// newQuarantined returns a dispatcher with eight engines that are all found crashed when they fail,
-// its quarantine and its prober.
-func newQuarantined(e *fakeSender) (*dispatch.Dispatcher, *quarantine.Quarantine, *fakeProber) {
+// newQuarantineDispatcher returns a dispatcher with eight engines that are all found crashed when
+// they fail, its quarantine and its prober.
+func newQuarantineDispatcher(e *fakeSender) (*dispatch.Dispatcher, *quarantine.Quarantine, *fakeProber) {
 	log := slog.New(slog.DiscardHandler)
 	q := quarantine.New(func(time.Time, quarantine.Fingerprint) bool { return false }, log)
 	p, place, proof := newFakeProber(true), placement.New("hall"), freshness.New(time.Hour)
@@ -31,11 +31,11 @@
 	return d, q, p
 }
 
-// TestRequestThatCrashesEnginesIsQuarantined checks on each kind of route that a request under
+// TestRequestThatCrashesEnginesIsHeld checks on each kind of route that a request under
 // which three engines crashed is sent to no further engine and refused permanently, that its
 // retries count, that it is not reported as not run if it may have run, and that other requests are
 // served.
-func TestRequestThatCrashesEnginesIsQuarantined(t *testing.T) {
+func TestRequestThatCrashesEnginesIsHeld(t *testing.T) {
 	for route, want := range map[string][]struct {
 		sent   int
 		reason dispatch.Reason
@@ -46,7 +46,7 @@
 		"resumable": {{2, dispatch.EngineFailed}, {3, dispatch.EngineFailed}, {3, dispatch.CrashesEngines}},
 	} {
 		e := &fakeSender{serve: func(context.Context, int, dispatch.Attempt) (*dispatch.Response, error) { return nil, errConnReset }}
-		d, q, _ := newQuarantined(e)
+		d, q, _ := newQuarantineDispatcher(e)
 		for i, w := range want {
 			a := serve(t, d, route)
 			if a.refusal == nil || a.refusal.Reason != w.reason || a.refusal.RetryAfter != 0 || e.sentCount() != w.sent {
@@ -58,14 +58,14 @@
 		}
 		other := &dispatch.Request{ID: "id", Host: "h", Path: "/" + route + "/x", Key: "k", Patience: timeout, Body: []byte("other")}
 		if a := serveRequest(context.Background(), t, d, other); a.status != 200 || q.Len() != 1 {
-			t.Errorf("%s: another request got %d, %+v; %d quarantined", route, a.status, a.refusal, q.Len())
+			t.Errorf("%s: another request got %d, %+v; %d held", route, a.status, a.refusal, q.Len())
 		}
 	}
 }
 
-// TestAnsweredRequestIsNotQuarantined checks that a request is not quarantined for crashes if
-// engines also answer it.
-func TestAnsweredRequestIsNotQuarantined(t *testing.T) {
+// TestAnsweredRequestIsNotHeld checks that a request is not held for crashes if engines also
+// answer it.
+func TestAnsweredRequestIsNotHeld(t *testing.T) {
 	e := &fakeSender{}
 	e.serve = func(_ context.Context, n int, _ dispatch.Attempt) (*dispatch.Response, error) {
 		if n%3 == 0 {
@@ -73,11 +73,11 @@
 		}
 		return nil, errConnReset
 	}
-	d, q, _ := newQuarantined(e)
+	d, q, _ := newQuarantineDispatcher(e)
 	for range 12 {
 		serve(t, d, "unsafe")
 	}
 	if e.sentCount() != 12 || q.Len() != 0 {
-		t.Errorf("%d attempts of 12, %d requests quarantined", e.sentCount(), q.Len())
+		t.Errorf("%d attempts of 12, %d requests held", e.sentCount(), q.Len())
 	}
 }
--- a/internal/dispatch/ended_test.go
+++ b/internal/dispatch/ended_test.go
@@ -125,7 +125,7 @@
 // at the same engine some time later.
 func TestProbeResultExpires(t *testing.T) {
 	e := &fakeSender{serve: func(context.Context, int, dispatch.Attempt) (*dispatch.Response, error) { return nil, errConnReset }}
-	d, q, p := newQuarantined(e)
+	d, q, p := newQuarantineDispatcher(e)
 	p.ended.Store(false)
 	serve(t, d, "unsafe")
 	p.ended.Store(true)
@@ -134,6 +134,6 @@
 		serve(t, d, "unsafe")
 	}
 	if q.Len() != 1 {
-		t.Errorf("%d requests quarantined after three crashes, want 1", q.Len())
+		t.Errorf("%d requests held after three crashes, want 1", q.Len())
 	}
 }
--- a/internal/dispatch/relay.go
+++ b/internal/dispatch/relay.go
@@ -99,7 +99,7 @@
 
 // rejectionOutcome returns the outcome that placement records for a rejection.
 func rejectionOutcome(resp *Response) placement.Outcome {
-	if resp.Rest > 0 {
+	if resp.BackOff > 0 {
 		return placement.Throttled
 	}
 	return placement.Rejected
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -56,7 +56,7 @@
 		Running  int           // Running is the number of requests that the engine was running.
 		Waiting  int           // Waiting is the number of requests that were queued there.
 		HasLoad  bool          // HasLoad is set if Running and Waiting are known.
-		Rest     time.Duration // Rest is how long the engine wants no requests from this node; 0 if it did not say.
+		BackOff  time.Duration // BackOff is how long the engine wants no requests from this node; 0 if it did not say.
 		Leaving  bool          // Leaving is set if the engine announces that it leaves.
 		Limited  bool          // Limited is set if the engine declared a rate limit.
 		Limit    float64       // Limit is the number of requests per second that the engine accepts from all nodes together.
--- a/internal/dispatch/said.go
+++ b/internal/dispatch/said.go
@@ -24,9 +24,9 @@
 	if resp.Limited {
 		x.engineLimit = resp.Limit
 	}
-	if resp.Rest > 0 {
-		x.d.log.Info("engine asked for a pause", "request", x.req.ID, "engine", engine, "rest_ms", resp.Rest.Milliseconds(), "status", resp.Status, "not_run", resp.NotRun)
-		x.d.placement.BackOff(now, engine, resp.Rest)
+	if resp.BackOff > 0 {
+		x.d.log.Info("engine asked to back off", "request", x.req.ID, "engine", engine, "rest_ms", resp.BackOff.Milliseconds(), "status", resp.Status, "not_run", resp.NotRun)
+		x.d.placement.BackOff(now, engine, resp.BackOff)
 	}
 	if x.d.leaveObserver != nil && resp.Leaving {
 		x.d.leaveObserver.Leaves(now, engine, x.choice.Engine.Incarnation)
--- a/internal/dispatch/walk.go
+++ b/internal/dispatch/walk.go
@@ -32,7 +32,7 @@
 	pool     string
 
 	fingerprint quarantine.Fingerprint
-	trial       bool // trial is set if the next attempt is the trial of a quarantined request
+	trial       bool // trial is set if the next attempt is the trial of a request held in the quarantine
 
 	tried         map[string]bool // tried holds the engines that were tried
 	sent          int             // sent counts the engines that the request was sent to
@@ -84,7 +84,7 @@
 	if x.d.exchanges.resumes.Load() != resumes {
 		return true // A decision made before a suspension is made again.
 	}
-	if refusal := x.refuseQuarantined(now); refusal != nil { // It may have been quarantined while it waited for a slot.
+	if refusal := x.refuseHeld(now); refusal != nil { // It may have become held while it waited for a slot.
 		x.refuse(*refusal)
 		return false
 	}
@@ -100,7 +100,7 @@
 	if refusal := x.stillAllowed(now); refusal != nil {
 		return refusal
 	}
-	if refusal := x.refuseQuarantined(now); refusal != nil {
+	if refusal := x.refuseHeld(now); refusal != nil {
 		return refusal
 	}
 	choice, ok := x.pickEngine(now, request)
--- a/internal/edge/absence.go
+++ b/internal/edge/absence.go
@@ -9,35 +9,34 @@
 	"github.com/croftturn/croftturn/internal/pause"
 )
 
-// minAbsence is the shortest time for which the process was suspended that counts as an absence,
-// after which this node verifies its configuration and reads its engines again. A busy machine may
-// delay a process for less than this.
-const minAbsence = 500 * time.Millisecond
+// minSuspension is the shortest suspension after which this node verifies its configuration and
+// reads its engines again. A busy machine may delay a process for less than this.
+const minSuspension = 500 * time.Millisecond
 
-// afterAbsence is a clock.Hook that runs after the process was suspended, before any other
+// afterSuspension is a clock.Hook that runs after the process was suspended, before any other
 // decision. Until the node has caught up on the changes it missed, no key is accepted and no idle
 // connection is reused.
-func (e *Edge) afterAbsence(now time.Time, away time.Duration) {
-	if away < minAbsence {
+func (e *Edge) afterSuspension(now time.Time, away time.Duration) {
+	if away < minSuspension {
 		return
 	}
 	e.proof.Invalidate(now)
 	e.dispatcher.Resumed(now)
 	e.egress.ForgetAll()
-	e.absences.Add(1)
+	e.suspensions.Add(1)
 	select {
-	case e.absenceEnded <- away:
-	default: // An earlier absence is still being handled.
+	case e.suspensionEnded <- away:
+	default: // An earlier suspension is still being handled.
 	}
 }
 
-// handleAbsences refreshes the node's state after each absence, until the context ends.
-func (e *Edge) handleAbsences(ctx context.Context) {
+// handleSuspensions refreshes the node's state after each suspension, until the context ends.
+func (e *Edge) handleSuspensions(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case away := <-e.absenceEnded:
+		case away := <-e.suspensionEnded:
 			begin := clock.Now()
 			e.log.Warn("process was suspended", "away_ms", away.Milliseconds(), "active", e.dispatcher.Active())
 			e.discovery.Expire(begin)
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -120,8 +120,8 @@
 
 	configsRefused atomic.Int64 // configsRefused counts configurations that were rejected as invalid.
 
-	absences        atomic.Int64       // absences counts how often this process was suspended.
-	absenceEnded    chan time.Duration // absenceEnded receives the length of each absence when it is over.
+	suspensions     atomic.Int64       // suspensions counts how often this process was suspended.
+	suspensionEnded chan time.Duration // suspensionEnded receives the length of each suspension when it is over.
 	removeClockHook func()             // removeClockHook removes the hook from the clock.
 
 	wakeConfig, wakeEngines chan struct{} // These wake the readers when this node should read.
@@ -141,7 +141,7 @@
 func Start(ctx context.Context, s *settings.Settings, out io.Writer) (*Edge, error) {
 	debug.SetGCPercent(gcPercent)
 	setMemoryLimit(s)
-	e := &Edge{settings: s, logWriter: logline.New(out), startedAt: clock.Now(), wakeConfig: make(chan struct{}, 1), wakeEngines: make(chan struct{}, 1), absenceEnded: make(chan time.Duration, 1), removeClockHook: func() {}}
+	e := &Edge{settings: s, logWriter: logline.New(out), startedAt: clock.Now(), wakeConfig: make(chan struct{}, 1), wakeEngines: make(chan struct{}, 1), suspensionEnded: make(chan time.Duration, 1), removeClockHook: func() {}}
 	tele, err := telemetry.New(ctx, s, e.logWriter)
 	if err != nil {
 		return nil, errors.Join(fmt.Errorf("start telemetry: %w", err), e.logWriter.Close())
@@ -225,8 +225,8 @@
 	}
 	config := &feed.Reader{Table: e.configTable, Source: e.store, Wait: configLongPoll, ShouldRead: e.shouldRead, OnSuccess: e.configProven, OnFailure: e.storeFailed, Wake: e.wakeConfig, Log: e.log}
 	engines := &feed.Reader{Table: e.engineTable, Source: e.store, Wait: scaleMs(enginesLongPollShare, s.EngineDrainMs), ShouldRead: e.shouldRead, OnSuccess: e.storeAnswered, OnFailure: e.storeFailed, Wake: e.wakeEngines, Log: e.log}
-	e.removeClockHook = clock.OnResume(e.afterAbsence)
-	e.startGoroutine(func() { e.handleAbsences(ctx) })
+	e.removeClockHook = clock.OnResume(e.afterSuspension)
+	e.startGoroutine(func() { e.handleSuspensions(ctx) })
 	e.startGoroutine(e.peerServer.Serve)
 	e.startGoroutine(func() { e.gossip.Run(ctx, e) })
 	e.startGoroutine(func() { config.Run(ctx) })
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -316,24 +316,24 @@
 	}
 }
 
-// TestANodeThatWasAwayProvesItsConfigurationFirst checks that a node that was suspended serves no
+// TestASuspendedNodeProvesItsConfigurationFirst checks that a node that was suspended serves no
 // callers until it has read the store again, that it does so at once, and that a peer's proof from
 // before the suspension does not count.
-func TestANodeThatWasAwayProvesItsConfigurationFirst(t *testing.T) {
+func TestASuspendedNodeProvesItsConfigurationFirst(t *testing.T) {
 	e := startWithPeers(t, nil)
 	waitFor(t, func() bool { return e.Ready(time.Now()) }, "not ready")
 	back := time.Now()
-	e.afterAbsence(back, minAbsence/2)
+	e.afterSuspension(back, minSuspension/2)
 	if !e.Ready(back) {
-		t.Error("not ready after a pause too short to be an absence")
+		t.Error("not ready after a suspension too short to count")
 	}
-	e.afterAbsence(back.Add(time.Second), 3*time.Second)
+	e.afterSuspension(back.Add(time.Second), 3*time.Second)
 	e.HandlePeerState(back, gossip.NodeInfo{Name: "p"}, gossip.State{ConfigVersion: 3, ProofAgeMs: 0, StoreFailureAgeMs: -1}, back.Add(900*time.Millisecond))
-	if e.Ready(back.Add(time.Second)) || e.absences.Load() != 1 {
-		t.Errorf("ready after an absence without a proof; %d absences", e.absences.Load())
+	if e.Ready(back.Add(time.Second)) || e.suspensions.Load() != 1 {
+		t.Errorf("ready after a suspension without a proof; %d suspensions", e.suspensions.Load())
 	}
-	waitFor(t, func() bool { return e.Ready(time.Now()) }, "not ready after an absence")
+	waitFor(t, func() bool { return e.Ready(time.Now()) }, "not ready after a suspension")
 	if took := time.Since(back); took < time.Second || took > configLongPoll {
-		t.Errorf("ready %v after, want soon after the end of the absence, a second later", took)
+		t.Errorf("ready %v after, want soon after the end of the suspension, a second later", took)
 	}
 }
--- a/internal/edge/leaving_test.go
+++ b/internal/edge/leaving_test.go
@@ -25,7 +25,7 @@
 		{"in a whole answer", 0, func(*scriptedCluster) {}},
 		{"in a failure", http.StatusInternalServerError, func(*scriptedCluster) {}},
 		{"in a refusal", http.StatusServiceUnavailable, func(*scriptedCluster) {}},
-		{"while the store is away", 0, func(w *scriptedCluster) { w.storeDown.Store(true) }},
+		{"while the store is unavailable", 0, func(w *scriptedCluster) { w.storeDown.Store(true) }},
 		{"while its entry is renewed as ready", 0, func(w *scriptedCluster) { w.version.Add(1) }},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -42,7 +42,7 @@
 		telemetry.Observed{Name: "croftturn.edge.config_age_ms", Help: "age of the proof that the configuration is the newest", Read: func() int64 { return e.proof.AgeMs(clock.Now()) }},
 		telemetry.Observed{Name: "croftturn.edge.entries_refused", Help: "changes of engines' entries that could not be understood", Read: func() int64 { return e.discovery.Refused() }},
 		telemetry.Observed{Name: "croftturn.edge.configs_refused", Help: "configurations that could not be understood", Read: func() int64 { return e.configsRefused.Load() }},
-		telemetry.Observed{Name: "croftturn.edge.absences", Help: "times that this process was away, as by a suspended machine", Read: func() int64 { return e.absences.Load() }},
+		telemetry.Observed{Name: "croftturn.edge.absences", Help: "times that this process was away, as by a suspended machine", Read: func() int64 { return e.suspensions.Load() }},
 		telemetry.Observed{Name: "croftturn.edge.requests_held", Help: "requests that get no engine, since engines ended under them", Read: func() int64 { return e.quarantine.Len() }},
 		telemetry.Observed{Name: "croftturn.edge.engines_limited", Help: "engines that have named a limit of requests", Read: func() int64 { return e.limits.Len() }},
 		telemetry.Observed{Name: "croftturn.edge.engines_resting", Help: "engines that asked this node for rest", Read: func() int64 { return int64(e.placement.BackingOff(clock.Now())) }},
--- a/internal/edge/reading_test.go
+++ b/internal/edge/reading_test.go
@@ -132,16 +132,16 @@
 	}
 }
 
-// TestOneProbeWhileTheStoreIsAway checks that a node that restarts while the store is unavailable
+// TestOneProbeWhileTheStoreIsUnavailable checks that a node that restarts while the store is unavailable
 // reads the configuration only, and the other tables once the store has answered.
-func TestOneProbeWhileTheStoreIsAway(t *testing.T) {
+func TestOneProbeWhileTheStoreIsUnavailable(t *testing.T) {
 	var mu sync.Mutex
-	asked, away := map[string]int{}, true
+	asked, unavailable := map[string]int{}, true
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		defer mu.Unlock()
 		asked[r.URL.Path+" "+r.URL.Query().Get("table")]++
-		if away {
+		if unavailable {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
@@ -163,10 +163,10 @@
 	startWithPeersAt(t, server.Listener.Addr().String(), nil)
 	waitFor(t, func() bool { config, _ := counts(); return config >= 3 }, "the configuration is not asked for")
 	if _, others := counts(); others != 0 {
-		t.Errorf("%d other calls while the store is away: %v", others, asked)
+		t.Errorf("%d other calls while the store is unavailable: %v", others, asked)
 	}
 	mu.Lock()
-	away = false
+	unavailable = false
 	mu.Unlock()
 	waitFor(t, func() bool {
 		mu.Lock()
--- a/internal/edge/rest_test.go
+++ b/internal/edge/rest_test.go
@@ -8,22 +8,22 @@
 	"time"
 )
 
-// restGrace is how long after an engine asked a node for rest its requests are not counted; after
-// that the engine may get maxDuringRest requests from the node until the rest ends.
+// backoffGrace is how long after an engine asked a node to back off its requests are not counted; after
+// that the engine may get maxDuringBackoff requests from the node until the backoff ends.
 const (
-	restGrace     = 500 * time.Millisecond
-	maxDuringRest = 2
+	backoffGrace     = 500 * time.Millisecond
+	maxDuringBackoff = 2
 )
 
-// TestAnEngineThatAsksForRestGetsIt guards against a node sending requests to an engine that
-// rejected one and asked for rest.
-func TestAnEngineThatAsksForRestGetsIt(t *testing.T) {
+// TestEngineThatAsksToBackOffIsLeftAlone guards against a node sending requests to an engine that
+// rejected one and asked to back off.
+func TestEngineThatAsksToBackOffIsLeftAlone(t *testing.T) {
 	for _, test := range []struct {
-		name      string
-		resting   int // resting is how many of the three engines ask for rest.
-		rest      string
-		minRest   time.Duration // minRest is how long they must be left alone.
-		meanwhile func(w *scriptedCluster)
+		name       string
+		backingOff int // resting is how many of the three engines ask to back off.
+		retryAfter string
+		minBackoff time.Duration // minBackoff is how long they must be left alone.
+		meanwhile  func(w *scriptedCluster)
 	}{
 		{"one of three", 1, "2.5", 2500 * time.Millisecond, func(*scriptedCluster) {}},
 		{"all of them", 3, "2.5", 2500 * time.Millisecond, func(*scriptedCluster) {}},
@@ -33,25 +33,25 @@
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			w := newScriptedCluster(t, 3, 3)
-			for _, e := range w.engines[:test.resting] {
-				e.setRest(test.rest)
+			for _, e := range w.engines[:test.backingOff] {
+				e.setBackoff(test.retryAfter)
 			}
-			time.AfterFunc(restGrace, func() { test.meanwhile(w) })
+			time.AfterFunc(backoffGrace, func() { test.meanwhile(w) })
 			w.load(10*time.Millisecond, 3*time.Second, func(string, time.Time, result) {})
-			for _, e := range w.engines[:test.resting] {
+			for _, e := range w.engines[:test.backingOff] {
 				for _, node := range w.nodes {
 					came := e.arrivalsFrom(node.settings.Instance)
 					if len(came) == 0 {
-						t.Fatal("no request was sent to the engine before it asked for rest")
+						t.Fatal("no request was sent to the engine before it asked to back off")
 					}
 					in := 0
 					for _, at := range came {
-						if after := at.Sub(came[0]); after > restGrace && after < test.minRest {
+						if after := at.Sub(came[0]); after > backoffGrace && after < test.minBackoff {
 							in++
 						}
 					}
-					if in > maxDuringRest {
-						t.Errorf("%d requests of a node came during the rest of %v", in, test.minRest)
+					if in > maxDuringBackoff {
+						t.Errorf("%d requests of a node came during the backoff of %v", in, test.minBackoff)
 					}
 				}
 			}
@@ -59,12 +59,12 @@
 	}
 }
 
-// TestWhereAllEnginesAskForRestCallersComeBackAfterIt guards against callers that are refused
-// late, that retry before the engines' rest ends, or that all retry at the same time.
-func TestWhereAllEnginesAskForRestCallersComeBackAfterIt(t *testing.T) {
+// TestCallersRetryAfterAllEnginesBackedOff guards against callers that are refused
+// late, that retry before the engines' backoff ends, or that all retry at the same time.
+func TestCallersRetryAfterAllEnginesBackedOff(t *testing.T) {
 	w := newScriptedCluster(t, 2, 2)
 	for _, e := range w.engines {
-		e.setRest("0.5")
+		e.setBackoff("0.5")
 	}
 	begin := time.Now()
 	var mu sync.Mutex
@@ -83,25 +83,25 @@
 		}
 	})
 	if early > 0 || len(retryAfters) < 50 {
-		t.Errorf("%d were told to retry before the rest ends; %d different values of Retry-After", early, len(retryAfters))
+		t.Errorf("%d were told to retry before the backoff ends; %d different values of Retry-After", early, len(retryAfters))
 	}
 	for _, e := range w.engines {
 		if n := e.countBetween(begin, time.Now()); n > 20 {
-			t.Errorf("%d requests were sent to an engine that asks for rest each time", n)
+			t.Errorf("%d requests were sent to an engine that asks to back off each time", n)
 		}
 	}
 }
 
-// TestAnEngineThatHasRestedIsUsedAgain guards against a rest that does not end, and against all
+// TestEngineIsUsedAgainAfterItsBackoff guards against a backoff that does not end, and against all
 // waiting requests being sent when it ends.
-func TestAnEngineThatHasRestedIsUsedAgain(t *testing.T) {
+func TestEngineIsUsedAgainAfterItsBackoff(t *testing.T) {
 	w := newScriptedCluster(t, 2, 3)
 	e := w.engines[0]
-	e.setRest("1")
+	e.setBackoff("1")
 	begin := time.Now()
 	time.AfterFunc(500*time.Millisecond, func() { e.status.Store(0) })
 	w.load(10*time.Millisecond, 3*time.Second, func(string, time.Time, result) {})
 	if n := e.countBetween(begin.Add(2*time.Second), time.Now()); n < 20 {
-		t.Errorf("%d requests in the last second, long after the rest ended", n)
+		t.Errorf("%d requests in the last second, long after the backoff ended", n)
 	}
 }
--- a/internal/edge/says_rig_test.go
+++ b/internal/edge/says_rig_test.go
@@ -122,8 +122,8 @@
 	switch status := int(e.status.Load()); status {
 	case http.StatusServiceUnavailable:
 		w.Header().Set("Not-Executed", "1")
-		if rest := e.retryAfter.Load(); rest != nil {
-			w.Header().Set("Retry-After", *rest)
+		if retryAfter := e.retryAfter.Load(); retryAfter != nil {
+			w.Header().Set("Retry-After", *retryAfter)
 		}
 		w.WriteHeader(status)
 		return
@@ -144,8 +144,8 @@
 	e.limit.Store(&limit)
 }
 
-// setRest makes the engine reject requests and ask for rest, until its status is set again.
-func (e *scriptedEngine) setRest(seconds string) {
+// setBackoff makes the engine reject requests and ask to back off, until its status is set again.
+func (e *scriptedEngine) setBackoff(seconds string) {
 	e.retryAfter.Store(&seconds)
 	e.status.Store(http.StatusServiceUnavailable)
 }
--- a/internal/placement/held_test.go
+++ b/internal/placement/held_test.go
@@ -13,15 +13,15 @@
 func TestThrottledEnginesAddNoCapacity(t *testing.T) {
 	const engines, slots = 6, 10
 	for _, test := range []struct {
-		name             string
-		limited, resting int
-		busy             int // requests at each other engine
-		free             int
-		scarce, reserved bool
+		name                string
+		limited, backingOff int
+		busy                int // requests at each other engine
+		free                int
+		scarce, reserved    bool
 	}{
 		{"none", 0, 0, 2, 6, false, false},
 		{"two limited", 2, 0, 7, 4, true, false},
-		{"two resting", 0, 2, 8, 4, true, true},
+		{"two backing off", 0, 2, 8, 4, true, true},
 		{"all but one", 3, 2, 2, 1, false, false},
 	} {
 		o := permitTimes{}
@@ -34,7 +34,7 @@
 			switch {
 			case i < test.limited:
 				o[id] = now.Add(time.Minute)
-			case i < test.limited+test.resting:
+			case i < test.limited+test.backingOff:
 				p.BackOff(now, id, time.Minute)
 			default:
 				loads[id] = placement.Load{InFlight: test.busy}
--- a/internal/placement/late_test.go
+++ b/internal/placement/late_test.go
@@ -25,10 +25,10 @@
 	call.End(now, placement.Answered)
 }
 
-// TestPausesDecideWhichStreamsAreKeptApart checks that a stream is separated from long prompts
+// TestGapsDecideWhichStreamsAreSeparated checks that a stream is separated from long prompts
 // if the gaps observed on engines that process them would make many such streams late. This
 // depends on how often gaps are too long and on how many events the answer has.
-func TestPausesDecideWhichStreamsAreKeptApart(t *testing.T) {
+func TestGapsDecideWhichStreamsAreSeparated(t *testing.T) {
 	tests := []struct {
 		name   string
 		every  int
@@ -62,9 +62,9 @@
 	}
 }
 
-// TestPausesOfStreamsThatAreKeptApartDoNotCount checks that streams stay separated although
+// TestGapsOfSeparatedStreamsDoNotCount checks that streams stay separated although
 // their gaps are short: the gaps are short because of the separation.
-func TestPausesOfStreamsThatAreKeptApartDoNotCount(t *testing.T) {
+func TestGapsOfSeparatedStreamsDoNotCount(t *testing.T) {
 	p := newPlacement(3)
 	apart := choose(t, p, start, stream(1))
 	if !apart.GapSensitive {
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -97,9 +97,9 @@
 	}
 }
 
-// TestLongPromptsKeepAwayFromStreams checks that streams which tolerate only short gaps share
+// TestLongPromptsAvoidGapSensitiveStreams checks that streams which tolerate only short gaps share
 // few engines, and that long prompts are not queued on those.
-func TestLongPromptsKeepAwayFromStreams(t *testing.T) {
+func TestLongPromptsAvoidGapSensitiveStreams(t *testing.T) {
 	p := newPlacement(9)
 	streams := map[string]bool{}
 	for s := range 20 {
@@ -214,9 +214,9 @@
 	}
 }
 
-// TestEngineThatTurnsAwayIsAvoided checks that an engine which rejects requests gets fewer,
+// TestRejectingEngineIsAvoided checks that an engine which rejects requests gets fewer,
 // whatever its load.
-func TestEngineThatTurnsAwayIsAvoided(t *testing.T) {
+func TestRejectingEngineIsAvoided(t *testing.T) {
 	p := newPlacement(2)
 	r := placement.Request{Pool: "p"}
 	c := choose(t, p, start, r)
@@ -265,11 +265,11 @@
 	}
 }
 
-// TestRoomIsOfThePool checks that a request need not wait for a slot while the pool has many
+// TestSlotAvailabilityIsOfThePool checks that a request need not wait for a slot while the pool has many
 // free, even at an engine that seems full; that it has to wait once nearly all are taken; and
 // that any free slot is then preferred to the engine with the cached prompt. Slots are scarce
 // when the pool, or the engine itself, has few left.
-func TestRoomIsOfThePool(t *testing.T) {
+func TestSlotAvailabilityIsOfThePool(t *testing.T) {
 	p := placement.New("hall")
 	for i := range 5 {
 		p.Set(placement.Engine{ID: fmt.Sprint("e", i), Pool: "p", Hall: "hall", Slots: 4})
--- a/internal/placement/rest.go
+++ b/internal/placement/rest.go
@@ -21,8 +21,8 @@
 	backoffRetention = time.Minute
 )
 
-// backoff is a pause that an engine asked this node for. After it one trial request is sent, and
-// more once the engine has accepted that one.
+// backoff is a time in which an engine asked this node to send nothing. After it one trial request
+// is sent, and more once the engine has accepted that one.
 type backoff struct {
 	until time.Time
 	trial *Call // request sent after the end; nil if none
