--- a/internal/dispatch/crashes.go
+++ b/internal/dispatch/crashes.go
@@ -84,7 +84,7 @@
 	d.log.Log(ctx, crashLogLevel(ended), "engine failed while running request", "request", x.req.ID, "fingerprint", x.fingerprint.String(), "route", x.route.Name, "team", x.teamName(),
 		"engine", engine.ID, "ended", ended, "restarted", restarted, "after_ms", now.Sub(x.sentAt).Milliseconds(), "probe_ms", took.Milliseconds(), "error", cause.Error())
 	if ended {
-		d.observer.EngineEnded(x.pool)
+		d.observer.EngineCrashed(x.pool)
 	}
 	return ended
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -43,8 +43,8 @@
 		// Began counts a request of a team that an engine started to run.
 		Began(now time.Time, team string)
 
-		// EngineEnded counts a request whose engine crashed while running it.
-		EngineEnded(pool string)
+		// EngineCrashed counts a request whose engine crashed while running it.
+		EngineCrashed(pool string)
 	}
 
 	// Dispatcher serves requests. It is safe for concurrent use.
--- a/internal/dispatch/ended_test.go
+++ b/internal/dispatch/ended_test.go
@@ -46,7 +46,7 @@
 	return p.ended.Load()
 }
 
-func (c *crashObserver) EngineEnded(string)      { c.n.Add(1) }
+func (c *crashObserver) EngineCrashed(string)    { c.n.Add(1) }
 func (c *crashObserver) Began(time.Time, string) { c.began.Add(1) }
 
 // breakMidway answers with one event and then fails.
--- a/internal/dispatch/rig_test.go
+++ b/internal/dispatch/rig_test.go
@@ -85,7 +85,7 @@
 func (retryObserver) Ended(_, _ string, _, _ time.Duration) {}
 func (retryObserver) Retried(string)                        { retried.Add(1) }
 func (retryObserver) Began(time.Time, string)               {}
-func (retryObserver) EngineEnded(string)                    {}
+func (retryObserver) EngineCrashed(string)                  {}
 
 // respond returns a complete answer of an engine.
 func respond(status int, body string) *dispatch.Response {
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// EngineEnded counts a request whose engine ended while running it.
-func (m *metrics) EngineEnded(pool string) {
+// EngineCrashed counts a request whose engine crashed while running it.
+func (m *metrics) EngineCrashed(pool string) {
 	m.crashed.Add(context.Background(), 1, metric.WithAttributes(attribute.String("pool", pool)))
 }
