--- a/internal/discovery/leaving.go
+++ b/internal/discovery/leaving.go
@@ -5,7 +5,7 @@
 // maxGossipEntries bounds the engines in one message, at about 2 KB.
 const maxGossipEntries = 64
 
-// GossipEntry is what a node tells its peers about an engine that announced in an answer that it is leaving.
+// GossipEntry is the gossip about an engine that announced in an answer that it is leaving.
 type GossipEntry struct {
 	_      struct{} `cbor:",toarray"`
 	Engine string
--- a/internal/dispatch/line.go
+++ b/internal/dispatch/line.go
@@ -76,11 +76,11 @@
 
 // newQueue returns an empty queue.
 func newQueue(now time.Time) *queue {
-	l := &queue{peerStats: map[string]peerReport{}}
-	for tier := range l.tierCounters {
-		l.tierCounters[tier] = newTierCounter(now)
+	q := &queue{peerStats: map[string]peerReport{}}
+	for tier := range q.tierCounters {
+		q.tierCounters[tier] = newTierCounter(now)
 	}
-	return l
+	return q
 }
 
 // of returns the queue of a pool.
--- a/internal/dispatch/resend.go
+++ b/internal/dispatch/resend.go
@@ -56,12 +56,12 @@
 	call := x.call
 	end := func() { cancel(errEngineRestarted) }
 	call.OnLost(func() {
-		quiet := call.Idle(clock.Now())
-		if quiet >= restartSilence {
+		idle := call.Idle(clock.Now())
+		if idle >= restartSilence {
 			end()
 			return
 		}
-		time.AfterFunc(restartSilence-quiet, func() {
+		time.AfterFunc(restartSilence-idle, func() {
 			if call.Idle(clock.Now()) >= restartSilence {
 				end()
 			}
--- a/internal/edge/crash_test.go
+++ b/internal/edge/crash_test.go
@@ -14,7 +14,7 @@
 // These tests guard against a request that crashes the engine running it and is sent again and again,
 // to one node after another: up to 15 engines crashed in 15 seconds, each with all its requests. Three
 // crashes may be needed to identify such a request; it caused 9 more, since nodes neither remembered nor
-// told each other which requests an engine was running when it crashed. In the logs of 13 crashes the same
+// gossiped which requests an engine was running when it crashed. In the logs of 13 crashes the same
 // request (team, prompt and size) was running each time, sent once each at all six nodes in turn; no other
 // request occurred twice.
 
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -68,7 +68,7 @@
 	// enginesLongPollShare is how long a call to the store waits for changes of engines, as a
 	// share of the time within which new work at a leaving engine must stop. When the store drops
 	// its history, calls in flight may report nothing until they end; the rest of the time is for
-	// the next call and for telling the peers.
+	// the next call and for the gossip to peers.
 	enginesLongPollShare = 0.4
 
 	// stopMargin is how long before the platform kills the process the node exits.
@@ -171,7 +171,7 @@
 	e.proof = freshness.New(proofMaxAge(s))
 	e.limits = limit.New(e.log)
 	e.placement = placement.New(s.Hall, placement.WithLimits(e.limits), placement.WithUnseenNodes(e.unheardPeers), placement.WithSenders(s.Instance, e.senders), placement.WithRegions(s.HallRegions))
-	e.quarantine = quarantine.New(e.retriesHeld, e.log)
+	e.quarantine = quarantine.New(e.maySendTrial, e.log)
 	e.evacuations = evacuation.New(e.placement, e.log)
 	if e.gossip, err = gossip.New(self, e.log); err != nil {
 		return fmt.Errorf("start gossip: %w", err)
--- a/internal/edge/issuer.go
+++ b/internal/edge/issuer.go
@@ -29,7 +29,7 @@
 // permitIssuer returns the node that issues the permits for an engine: one of the hubs in the
 // engine's hall, or of all hubs if that hall has no nodes. If the hall has nodes but none is
 // heard, there is no issuer, since requests would not get through to that hall either.
-func (e *Edge) permitIssuer(now time.Time, hall, engine string) (place limit.IssuerNode, ok bool) {
+func (e *Edge) permitIssuer(now time.Time, hall, engine string) (issuer limit.IssuerNode, ok bool) {
 	empty := !e.gossip.KnowsHall(hall)
 	selfEligible := e.gossip.IsHub() && e.dispatcher.Ready(now) != dispatch.Stopping && (empty || e.settings.Hall == hall)
 	p, self, ok := e.selectHub(now, engine, selfEligible, func(p gossip.Peer) bool { return !p.State.Stopping && (empty || p.Hall == hall) })
--- a/internal/edge/limit_test.go
+++ b/internal/edge/limit_test.go
@@ -22,7 +22,7 @@
 func maxAllowed(limit float64) int { return int(1.5*limit*limitWindow.Seconds()) + 5 }
 
 // TestALimitIsOfAllNodesTogether guards against exceeding an engine's limit in total when only
-// some nodes were told of it.
+// some nodes got the announcement.
 func TestALimitIsOfAllNodesTogether(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -132,10 +132,10 @@
 	var lost atomic.Pointer[time.Time]
 	time.AfterFunc(limitGrace, func() {
 		for _, e := range w.nodes {
-			if place, ok := e.permitIssuer(time.Now(), engine.hall, engine.id); ok && place.Self {
+			if issuer, ok := e.permitIssuer(time.Now(), engine.hall, engine.id); ok && issuer.Self {
 				now := time.Now()
 				lost.Store(&now)
-				_ = e.stop() // The peers are not told.
+				_ = e.stop() // The node sends its peers no message that it stops.
 				return
 			}
 		}
--- a/internal/edge/reading.go
+++ b/internal/edge/reading.go
@@ -162,7 +162,7 @@
 
 // shouldReadUnproven reports whether the named node should read while this node has no proof. At
 // the first start of the whole system no caller waits yet: the first hubs read, more of them over
-// time until they have told the others, and nodes that know no others are drawn by lot. At any
+// time until their gossip reaches the others, and nodes that know no others are drawn by lot. At any
 // other start callers wait, so the node reads the configuration at once. If the proof expires
 // later, the hubs and a few spokes read.
 func (e *Edge) shouldReadUnproven(now time.Time, self string) bool {
@@ -209,7 +209,7 @@
 	return false
 }
 
-// wakeReaders ends the pauses of the readers.
+// wakeReaders wakes the readers that are waiting.
 func (e *Edge) wakeReaders() {
 	for _, wake := range []chan struct{}{e.wakeConfig, e.wakeEngines} {
 		select {
--- a/internal/edge/rest_test.go
+++ b/internal/edge/rest_test.go
@@ -20,7 +20,7 @@
 func TestEngineThatAsksToBackOffIsLeftAlone(t *testing.T) {
 	for _, test := range []struct {
 		name       string
-		backingOff int // resting is how many of the three engines ask to back off.
+		backingOff int // backingOff is how many of the three engines ask to back off.
 		retryAfter string
 		minBackoff time.Duration // minBackoff is how long they must be left alone.
 		meanwhile  func(w *scriptedCluster)
--- a/internal/gossip/cadence.go
+++ b/internal/gossip/cadence.go
@@ -47,7 +47,7 @@
 	idleSpokeRounds = 5
 
 	// updateRounds is for how many extra rounds a message includes recent entries of a list, such as
-	// requests under which engines ended, so that each entry is in at least two messages. The full
+	// requests under which engines crashed, so that each entry is in at least two messages. The full
 	// list is in the first message to a peer and in one every fullStateRounds (5 s), for peers that
 	// have started or missed updates.
 	updateRounds    = 3
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -189,6 +189,6 @@
 		case <-timer.C:
 			round += sleep
 		}
-		g.send(round) // send reads the clock itself: the timer's time may be old if the process was stopped.
+		g.send(round) // send reads the clock itself: the timer's time may be old if the process was suspended.
 	}
 }
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -66,7 +66,7 @@
 	return g, stop
 }
 
-// TestNodesHearEachOther checks that two nodes hear each other if one of them was told of the other,
+// TestNodesHearEachOther checks that two nodes hear each other if one of them was given the other's address,
 // that states arrive complete, that the receive time is between the sending and now, and that a silent
 // peer stops counting as alive.
 func TestNodesHearEachOther(t *testing.T) {
@@ -108,12 +108,12 @@
 	}
 }
 
-// slow is a node that pauses after it has collected its state, like a process that is stopped there.
+// slow is a node that sleeps after it has collected its state, like a process that is suspended there.
 type slow struct{ node }
 
 func (s *slow) LocalState(time.Time) gossip.State {
 	at := time.Now()
-	time.Sleep(150 * time.Millisecond) // The process is stopped here.
+	time.Sleep(150 * time.Millisecond) // The process is suspended here.
 	return gossip.State{Versions: map[string]int64{"at": at.UnixNano()}}
 }
 
--- a/internal/gossip/hubs.go
+++ b/internal/gossip/hubs.go
@@ -236,11 +236,11 @@
 	defer g.mu.Unlock()
 	var out []HubInfo
 	for _, name := range g.chosenHubs {
-		self := g.self
+		info := g.self
 		if p := g.peers[name]; p != nil {
-			self = p.NodeInfo
+			info = p.NodeInfo
 		}
-		out = append(out, HubInfo{Name: self.Name, Incarnation: self.Incarnation, PeerAddress: self.PeerAddress, CallerAddress: self.CallerAddress, Cores: self.Cores})
+		out = append(out, HubInfo{Name: info.Name, Incarnation: info.Incarnation, PeerAddress: info.PeerAddress, CallerAddress: info.CallerAddress, Cores: info.Cores})
 	}
 	return out
 }
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -40,9 +40,9 @@
 		CannotReadStore   bool                            `cbor:"9,keyasint,omitempty"`  // CannotReadStore reports whether the node leaves reading the platform's store to others for now.
 		StoreSilentMs     int64                           `cbor:"10,keyasint,omitempty"` // StoreSilentMs is how long a node that reads the store has had no answer; -1 if it does not read.
 		StoreFailureAgeMs int64                           `cbor:"11,keyasint,omitempty"` // StoreFailureAgeMs is the time since its last call to the store failed; -1 if none has.
-		Places            map[string][]dispatch.TierStats `cbor:"12,keyasint,omitempty"` // Places holds recent results of the tiers, by pool.
+		TierStats         map[string][]dispatch.TierStats `cbor:"12,keyasint,omitempty"` // TierStats holds the recent outcomes of requests of each tier, by pool.
 		Holder            Holder                          `cbor:"13,keyasint,omitempty"` // Holder is the duty holder known to the sender.
-		Crashing          []quarantine.GossipEntry        `cbor:"14,keyasint,omitempty"` // Crashing are requests under which engines ended: recent entries, or all that are held.
+		Crashing          []quarantine.GossipEntry        `cbor:"14,keyasint,omitempty"` // Crashing are requests under which engines crashed: recent entries, or all that are held.
 		Nodes             NodeCount                       `cbor:"15,keyasint,omitzero"`  // Nodes is the number of nodes that a hub knows.
 		ChosenHubs        []HubInfo                       `cbor:"16,keyasint,omitempty"` // ChosenHubs are the hubs that a hub chose for its hall, for receivers that may not know them.
 		Limits            []limit.GossipEntry             `cbor:"17,keyasint,omitempty"` // Limits are the limits of engines, including limits that ended recently.
--- a/internal/gossip/message_test.go
+++ b/internal/gossip/message_test.go
@@ -32,7 +32,7 @@
 			Newer  []string                 `cbor:"99,keyasint"`
 		}
 	)
-	state := gossip.State{Ready: true, Rate: 3, ProofAgeMs: -1, Places: map[string][]dispatch.TierStats{"p": {{Tier: 2, Requests: 7, NoSlot: 1, Late: 2, PrefillMicros: 900}}}}
+	state := gossip.State{Ready: true, Rate: 3, ProofAgeMs: -1, TierStats: map[string][]dispatch.TierStats{"p": {{Tier: 2, Requests: 7, NoSlot: 1, Late: 2, PrefillMicros: 900}}}}
 
 	var old older
 	translate(t, state, &old)
@@ -41,14 +41,14 @@
 	}
 
 	var got gossip.State
-	translate(t, newer{Ready: true, Places: map[string][]newerPlaces{"p": {{TierStats: state.Places["p"][0], Newer: 1}}}, Newer: []string{"x"}}, &got)
-	if !got.Ready || len(got.Places["p"]) != 1 || got.Places["p"][0] != state.Places["p"][0] {
+	translate(t, newer{Ready: true, Places: map[string][]newerPlaces{"p": {{TierStats: state.TierStats["p"][0], Newer: 1}}}, Newer: []string{"x"}}, &got)
+	if !got.Ready || len(got.TierStats["p"]) != 1 || got.TierStats["p"][0] != state.TierStats["p"][0] {
 		t.Errorf("from the newer release is decoded %+v", got)
 	}
 
 	var same gossip.State
 	translate(t, state, &same)
-	if same.ProofAgeMs != -1 || same.Places["p"][0] != state.Places["p"][0] {
+	if same.ProofAgeMs != -1 || same.TierStats["p"][0] != state.TierStats["p"][0] {
 		t.Errorf("the same release decodes %+v", same)
 	}
 }
--- a/internal/gossip/receive.go
+++ b/internal/gossip/receive.go
@@ -45,9 +45,9 @@
 		g.log.Warn("invalid message from peer", "peer", m.Name, "error", err.Error())
 		return
 	}
-	if self, received, ok := g.updatePeer(now, m, state, from); ok {
-		g.addChosenHubs(now, self.Hall, state.ChosenHubs)
-		g.node.HandlePeerState(now, self, state, received)
+	if info, received, ok := g.updatePeer(now, m, state, from); ok {
+		g.addChosenHubs(now, info.Hall, state.ChosenHubs)
+		g.node.HandlePeerState(now, info, state, received)
 	}
 }
 
@@ -55,8 +55,8 @@
 // incarnation is accepted if the newer one is silent: the clock that numbers incarnations may have
 // been set back between two starts. It returns the peer's NodeInfo and when this node sent the message
 // that the peer acknowledges; ok is false if the message is outdated or its sender unknown.
-func (g *Gossip) updatePeer(now time.Time, m message, state State, from *net.UDPAddr) (self NodeInfo, received time.Time, ok bool) {
-	self = NodeInfo{Name: m.Name, Incarnation: m.Incarnation, PeerAddress: m.PeerAddress, CallerAddress: m.CallerAddress, Hall: m.Hall, Cores: m.Cores}
+func (g *Gossip) updatePeer(now time.Time, m message, state State, from *net.UDPAddr) (info NodeInfo, received time.Time, ok bool) {
+	info = NodeInfo{Name: m.Name, Incarnation: m.Incarnation, PeerAddress: m.PeerAddress, CallerAddress: m.CallerAddress, Hall: m.Hall, Cores: m.Cores}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	p := g.peers[m.Name]
@@ -68,7 +68,7 @@
 	case m.PeerAddress == "" && !same:
 		return NodeInfo{}, time.Time{}, false // One of the peer's next messages has its NodeInfo.
 	case m.PeerAddress == "":
-		self = p.NodeInfo
+		info = p.NodeInfo
 	}
 	if !same || !g.heardRecently(now, p) {
 		g.log.Info("peer heard", "peer", m.Name, "incarnation", m.Incarnation, "address", m.PeerAddress, "ready", state.Ready)
@@ -89,8 +89,8 @@
 	if !g.isHub && slices.Contains(m.Hubs, g.self.Name) {
 		g.wake()
 	}
-	p.NodeInfo, p.State, p.chosenHubs, p.heardAt, p.addr, p.lastSeq, p.ackedSeq = self, state, m.Hubs, now, from, m.Seq, m.Ack
-	return self, g.sendTime(m.Ack), true
+	p.NodeInfo, p.State, p.chosenHubs, p.heardAt, p.addr, p.lastSeq, p.ackedSeq = info, state, m.Hubs, now, from, m.Seq, m.Ack
+	return info, g.sendTime(m.Ack), true
 }
 
 // wake ends the sleep of a spoke that was chosen as a hub.
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -166,13 +166,13 @@
 func TestPermitsFromAnotherNode(t *testing.T) {
 	others := peers{}
 	at, known, share := "a", true, 1.0
-	place := func(time.Time, string, string) (limit.IssuerNode, bool) { return limit.IssuerNode{Address: at}, known }
+	lookup := func(time.Time, string, string) (limit.IssuerNode, bool) { return limit.IssuerNode{Address: at}, known }
 	self := func(time.Time, string, string) (limit.IssuerNode, bool) { return limit.IssuerNode{Self: true}, true }
 	reach := func(time.Time) float64 { return share }
 	issuers := newLimits()
 	others["a"] = limit.NewPermits(issuers, others, self, reach, slog.New(slog.DiscardHandler))
 	l := newLimits()
-	p := limit.NewPermits(l, others, place, reach, slog.New(slog.DiscardHandler))
+	p := limit.NewPermits(l, others, lookup, reach, slog.New(slog.DiscardHandler))
 	take := func(longest time.Duration) (time.Duration, bool) {
 		permit := p.Take(context.Background(), time.Now(), "h", "e", longest)
 		return permit.Wait, permit.Issued
--- a/internal/limit/limits.go
+++ b/internal/limit/limits.go
@@ -43,7 +43,7 @@
 	engineLimit struct {
 		rate       float64   // rate is in requests per second; 0 if the limit has ended.
 		reportedAt time.Time // reportedAt is when the engine last announced it.
-		learnedAt  time.Time // changed is when this node learned of the present rate.
+		learnedAt  time.Time // learnedAt is when this node learned of the present rate.
 		nextPermit time.Time // nextPermit is when a permit is expected to be available.
 	}
 )
--- a/internal/limit/tell.go
+++ b/internal/limit/tell.go
@@ -5,7 +5,7 @@
 // maxGossipEntries bounds the engines in one message, at about 2 KB.
 const maxGossipEntries = 64
 
-// GossipEntry is what a node tells its peers about an engine's limit.
+// GossipEntry is the gossip about an engine's limit.
 type GossipEntry struct {
 	_      struct{} `cbor:",toarray"`
 	Engine string
--- a/internal/placement/late_test.go
+++ b/internal/placement/late_test.go
@@ -7,7 +7,7 @@
 	"github.com/croftturn/croftturn/internal/placement"
 )
 
-// pauseAt runs a stream at an engine in which every nth gap is a long one; none if every is 0.
+// runStream runs a stream at an engine in which every nth gap is a long one; none if every is 0.
 func runStream(p *placement.Placement, e placement.Engine, gaps, every int, long time.Duration) {
 	r := stream(1)
 	call := p.Start(start, placement.Choice{Engine: e}, r)
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -236,8 +236,8 @@
 			continue
 		}
 		at, limited := p.limits.Opens(e.ID)
-		if rested := p.backoffUntil(now, e.ID); rested.After(at) {
-			at = rested
+		if backoffEnd := p.backoffUntil(now, e.ID); backoffEnd.After(at) {
+			at = backoffEnd
 		}
 		if now.Before(at) || limited && r.ExcludeLimited {
 			if first.IsZero() || at.Before(first) {
--- a/internal/placement/pool.go
+++ b/internal/placement/pool.go
@@ -119,10 +119,10 @@
 }
 
 // notePrefill records the prompt tokens that an engine has to process for a request.
-func (p *pool) notePrefill(tokens int, tight bool) {
+func (p *pool) notePrefill(tokens int, gapSensitive bool) {
 	p.totalPrefill = p.totalPrefill*(1-prefillSmoothing) + float64(tokens)
 	p.streamPrefill *= 1 - prefillSmoothing
-	if tight {
+	if gapSensitive {
 		p.streamPrefill += float64(tokens)
 	}
 }
--- a/internal/quarantine/tell.go
+++ b/internal/quarantine/tell.go
@@ -16,7 +16,7 @@
 )
 
 type (
-	// GossipEntry is what a node tells its peers about a request.
+	// GossipEntry is the gossip about a request.
 	GossipEntry struct {
 		_             struct{} `cbor:",toarray"`
 		Fingerprint   uint64
@@ -80,7 +80,7 @@
 	}
 }
 
-// correctPeers makes this node tell its peers of an answer that it knows of, if that answer rules out a crash which a peer
+// correctPeers adds an answer that this node knows of to its gossip, if that answer rules out a crash which a peer
 // reported. The caller holds the lock.
 func (q *Quarantine) correctPeers(now time.Time, f Fingerprint, s Subject, crashedAt time.Time) {
 	r := q.records[f]
