--- a/internal/edge/crash_test.go
+++ b/internal/edge/crash_test.go
@@ -79,9 +79,9 @@
 	}
 }
 
-// TestWhatIsHeldOutlivesAllNodes checks that a held request is still held, and sent to no engine,
+// TestHeldRequestsSurviveRestartOfAllNodes checks that a held request is still held, and sent to no engine,
 // after all nodes were stopped and new ones started.
-func TestWhatIsHeldOutlivesAllNodes(t *testing.T) {
+func TestHeldRequestsSurviveRestartOfAllNodes(t *testing.T) {
 	const nodes = 3
 	w := newCrashCluster(t, 6, nodes, 20*time.Millisecond, 300*time.Millisecond)
 	for i := 0; len(w.crashTimes()) < 3; i++ {
@@ -158,10 +158,10 @@
 	return resp.StatusCode, string(answer)
 }
 
-// TestSuspectsCostTheirNeighboursLittle sends four crashing requests at the same time, among
+// TestCrashingRequestsAffectFewOthers sends four crashing requests at the same time, among
 // others that run for 200 ms, on engines that take 4 s to restart. At least 95% of the others must
 // be served, with at most four crashes for each crashing request.
-func TestSuspectsCostTheirNeighboursLittle(t *testing.T) {
+func TestCrashingRequestsAffectFewOthers(t *testing.T) {
 	const others, suspects = 600, 4
 	w := newCrashCluster(t, 24, 3, 200*time.Millisecond, 4*time.Second)
 	served := w.load(others, 10*time.Millisecond, func(i int) string { return fmt.Sprint("other ", i) }, func(i int) {
--- a/internal/edge/leaving_test.go
+++ b/internal/edge/leaving_test.go
@@ -14,9 +14,9 @@
 	drainTime    = 3 * time.Second
 )
 
-// TestAnEngineThatSaysItLeavesGetsNothingMore guards against requests to an engine whose responses
+// TestLeavingEngineGetsNoMoreRequests guards against requests to an engine whose responses
 // announce that it leaves while its entry says it is ready.
-func TestAnEngineThatSaysItLeavesGetsNothingMore(t *testing.T) {
+func TestLeavingEngineGetsNoMoreRequests(t *testing.T) {
 	for _, test := range []struct {
 		name      string
 		status    int64
@@ -47,9 +47,9 @@
 	}
 }
 
-// TestAnEngineThatIsBackAfterItLeftIsUsedAgain guards against applying the leave announcement of a
+// TestRestartedEngineIsUsedAfterItLeft guards against applying the leave announcement of a
 // former incarnation to a restarted engine.
-func TestAnEngineThatIsBackAfterItLeftIsUsedAgain(t *testing.T) {
+func TestRestartedEngineIsUsedAfterItLeft(t *testing.T) {
 	w := newScriptedCluster(t, 2, 3)
 	leaver := w.engines[0]
 	leaver.leaving.Store(true)
@@ -65,9 +65,9 @@
 	}
 }
 
-// TestWhereAllEnginesLeaveCallersAreRefusedAtOnce guards against requests that wait for engines
+// TestCallersAreRefusedAtOnceWhenAllEnginesLeave guards against requests that wait for engines
 // that do not return.
-func TestWhereAllEnginesLeaveCallersAreRefusedAtOnce(t *testing.T) {
+func TestCallersAreRefusedAtOnceWhenAllEnginesLeave(t *testing.T) {
 	w := newScriptedCluster(t, 2, 2)
 	for _, e := range w.engines {
 		e.leaving.Store(true)
--- a/internal/edge/limit_test.go
+++ b/internal/edge/limit_test.go
@@ -21,9 +21,9 @@
 // maxAllowed returns how many requests an engine with a limit may get within limitWindow.
 func maxAllowed(limit float64) int { return int(1.5*limit*limitWindow.Seconds()) + 5 }
 
-// TestALimitIsOfAllNodesTogether guards against exceeding an engine's limit in total when only
+// TestLimitAppliesToAllNodesTogether guards against exceeding an engine's limit in total when only
 // some nodes got the announcement.
-func TestALimitIsOfAllNodesTogether(t *testing.T) {
+func TestLimitAppliesToAllNodesTogether(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		nodes  int
@@ -63,9 +63,9 @@
 	}
 }
 
-// TestWhereAllEnginesAreLimitedTheRestIsRefused guards against requests that are held too long,
+// TestExcessIsRefusedWhenAllEnginesAreLimited guards against requests that are held too long,
 // sent beyond the limits, or refused wrongly where all engines are limited to less than the load.
-func TestWhereAllEnginesAreLimitedTheRestIsRefused(t *testing.T) {
+func TestExcessIsRefusedWhenAllEnginesAreLimited(t *testing.T) {
 	w := newScriptedCluster(t, 2, 4)
 	for _, e := range w.engines {
 		e.setLimit(5)
@@ -121,9 +121,9 @@
 	}
 }
 
-// TestALimitHoldsWhereItsIssuerIsLost guards against nodes that exceed the limit, or stop sending,
+// TestLimitHoldsAfterLossOfItsIssuer guards against nodes that exceed the limit, or stop sending,
 // after the node that issues the permits was lost.
-func TestALimitHoldsWhereItsIssuerIsLost(t *testing.T) {
+func TestLimitHoldsAfterLossOfItsIssuer(t *testing.T) {
 	const limit = 4
 	w := newScriptedCluster(t, 1, 5)
 	engine := w.engines[0]
--- a/internal/placement/cache_test.go
+++ b/internal/placement/cache_test.go
@@ -52,10 +52,10 @@
 	}
 }
 
-// TestSharedPartsAreReadNoMoreOftenOnMoreEngines serves many new sessions with a common first
+// TestSharedPartsAreNotProcessedMoreOftenWithMoreEngines serves many new sessions with a common first
 // prompt part, one after the other, and checks that with eight times as many engines not many
 // more of them process that part again.
-func TestSharedPartsAreReadNoMoreOftenOnMoreEngines(t *testing.T) {
+func TestSharedPartsAreNotProcessedMoreOftenWithMoreEngines(t *testing.T) {
 	const sessions = 1000
 	uncached := map[int]int{}
 	for _, engines := range []int{1000, 8000} {
--- a/internal/placement/cold_test.go
+++ b/internal/placement/cold_test.go
@@ -30,11 +30,11 @@
 	return out
 }
 
-// TestColdEnginesGetNoMoreThanTheyBear sends far more requests than cold engines allow from many
+// TestColdEnginesStayWithinTheirLimit sends far more requests than cold engines allow from many
 // nodes, which know all nodes or only their half of a partition. It checks that no engine gets
 // more than its limit in any second, that each gets a useful share of it when all nodes know
 // each other, and that all may be used once they are warm.
-func TestColdEnginesGetNoMoreThanTheyBear(t *testing.T) {
+func TestColdEnginesStayWithinTheirLimit(t *testing.T) {
 	const seconds, engines = 5, 6
 	for _, nodes := range []int{1, 3, 12, 60} {
 		all := func(int) (names []string) {
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -64,9 +64,9 @@
 	}
 }
 
-// TestNodesThatKnowNothingAgree checks that nodes choose the same engine for a session which
+// TestNodesWithoutStateChooseTheSameEngine checks that nodes choose the same engine for a session which
 // none of them has seen, and that sessions are spread over engines.
-func TestNodesThatKnowNothingAgree(t *testing.T) {
+func TestNodesWithoutStateChooseTheSameEngine(t *testing.T) {
 	a, b := newPlacement(9), newPlacement(9)
 	used := map[string]bool{}
 	for s := range 40 {
@@ -81,9 +81,9 @@
 	}
 }
 
-// TestPeersTellWhatTheyGave checks that prompt parts reported by a peer count as cached and its
+// TestPeerReportsCountAsCacheAndLoad checks that prompt parts reported by a peer count as cached and its
 // load as load at the engine, and that the load expires when the peer stops reporting.
-func TestPeersTellWhatTheyGave(t *testing.T) {
+func TestPeerReportsCountAsCacheAndLoad(t *testing.T) {
 	p := newPlacement(2)
 	p.UpdatePeer(start, "peer", 0, map[string]placement.Load{"e0": {PrefillTokens: 20000, InFlight: 4}}, []placement.Use{
 		{Engine: "e0", Part: placement.NewPart("root", 0).ID}, {Engine: "e0", Part: placement.NewPart("session1", 0).ID},
@@ -228,9 +228,9 @@
 	}
 }
 
-// TestPeersWorkIsReplaced checks that a peer's report replaces its previous one at each engine
+// TestPeerReportIsReplaced checks that a peer's report replaces its previous one at each engine
 // and leaves those of other peers unchanged.
-func TestPeersWorkIsReplaced(t *testing.T) {
+func TestPeerReportIsReplaced(t *testing.T) {
 	p := placement.New("hall")
 	for _, id := range []string{"e0", "e1", "e2"} {
 		p.Set(placement.Engine{ID: id, Pool: "p", Hall: "hall"})
--- a/internal/placement/present_test.go
+++ b/internal/placement/present_test.go
@@ -8,9 +8,9 @@
 	"github.com/croftturn/croftturn/internal/scaling"
 )
 
-// TestPresentAndWork checks that engines are counted by hall and kind, and that the prefill work
+// TestHallEnginesAndPrefillWork checks that engines are counted by hall and kind, and that the prefill work
 // of sent requests is added up.
-func TestPresentAndWork(t *testing.T) {
+func TestHallEnginesAndPrefillWork(t *testing.T) {
 	p, now := placement.New("a"), time.Unix(1000, 0)
 	for id, e := range map[string]placement.Engine{
 		"1": {Hall: "a"}, "2": {Hall: "a", Draining: true}, "3": {Hall: "a", Spot: true}, "4": {Hall: "b", Spot: true, Draining: true}, "5": {Hall: "b"},
--- a/internal/placement/restart_test.go
+++ b/internal/placement/restart_test.go
@@ -7,10 +7,10 @@
 	"github.com/croftturn/croftturn/internal/placement"
 )
 
-// TestARestartedEngineHasNothingOfBefore checks that the state of an engine's previous
+// TestRestartedEngineLosesItsState checks that the state of an engine's previous
 // incarnation is dropped once an entry shows a new one, that later results and reports about the
 // previous incarnation have no effect, and that its requests in flight are lost.
-func TestARestartedEngineHasNothingOfBefore(t *testing.T) {
+func TestRestartedEngineLosesItsState(t *testing.T) {
 	p := placement.New("hall")
 	first := placement.Engine{ID: "e", Pool: "p", Hall: "hall", Slots: 8, Incarnation: 100, SinceVersion: 5}
 	p.Set(first)
