--- a/internal/broker/length.go
+++ b/internal/broker/length.go
@@ -6,68 +6,68 @@
 )
 
 const (
-	// lengthBuckets is how many buckets a Length has; each is twice as wide as
-	// the one before, in quarter steps.
+	// lengthBuckets is the number of buckets of a LengthHistogram, which are
+	// spaced exponentially.
 	lengthBuckets = 64
 
-	// bucketsPerDoubling is how fine the buckets are.
+	// bucketsPerDoubling is the number of buckets in which the bound doubles.
 	bucketsPerDoubling = 4
 
-	// lengthFade is what each new answer leaves of the weight of the old ones.
-	lengthFade = 0.995
+	// lengthDecay is the factor by which each new sample reduces the weight of older ones.
+	lengthDecay = 0.995
 
-	// firstGuess is the length assumed before any answer was seen, in tokens.
-	firstGuess = 128
+	// defaultLength is the length assumed before the first sample, in tokens.
+	defaultLength = 128
 )
 
-// Length learns how long something is, such as the answers of one class, as a
-// distribution in which old samples fade. The zero value is ready.
-type Length struct {
+// LengthHistogram is a histogram with exponential decay of lengths, such as the
+// answers of one class. The zero value is ready for use.
+type LengthHistogram struct {
 	weights [lengthBuckets]float64
 	total   float64
 }
 
-// Learn takes the length of a complete answer, in tokens.
-func (l *Length) Learn(tokens int) {
+// Observe adds a sample, such as the length of a complete answer in tokens.
+func (l *LengthHistogram) Observe(tokens int) {
 	if tokens < 1 {
 		return
 	}
 	for i := range l.weights {
-		l.weights[i] *= lengthFade
+		l.weights[i] *= lengthDecay
 	}
 	l.weights[bucketOf(tokens)]++
-	l.total = l.total*lengthFade + 1
+	l.total = l.total*lengthDecay + 1
 }
 
-// Quantile returns the length that a share q of the answers does not exceed.
-func (l *Length) Quantile(q float64) int {
+// Quantile returns the length that a share q of the samples does not exceed.
+func (l *LengthHistogram) Quantile(q float64) int {
 	if l.total == 0 {
-		return firstGuess
+		return defaultLength
 	}
 	sum := 0.0
 	for i, w := range l.weights {
 		sum += w
 		if sum >= q*l.total {
-			return upperEdge(i)
+			return bucketUpperBound(i)
 		}
 	}
-	return upperEdge(lengthBuckets - 1)
+	return bucketUpperBound(lengthBuckets - 1)
 }
 
-// headroom returns the time to the first token that is seldom exceeded, or 0
-// before any was seen.
-func (l *Length) headroom() time.Duration {
+// headroom returns the firstTokenQuantile of the samples, taken as milliseconds
+// to the first token, or 0 before the first sample.
+func (l *LengthHistogram) headroom() time.Duration {
 	if l.total == 0 {
 		return 0
 	}
 	return time.Duration(l.Quantile(firstTokenQuantile)) * time.Millisecond
 }
 
-// bucketOf returns the bucket that a length falls into.
+// bucketOf returns the index of the bucket for a length.
 func bucketOf(tokens int) int {
 	i := int(math.Ceil(math.Log2(float64(tokens)) * bucketsPerDoubling))
 	return min(i, lengthBuckets-1)
 }
 
-// upperEdge returns the greatest length of a bucket.
-func upperEdge(i int) int { return int(math.Exp2(float64(i) / bucketsPerDoubling)) }
+// bucketUpperBound returns the greatest length that falls into a bucket.
+func bucketUpperBound(i int) int { return int(math.Exp2(float64(i) / bucketsPerDoubling)) }
--- a/internal/edge/absence.go
+++ b/internal/edge/absence.go
@@ -22,7 +22,7 @@
 	}
 	e.proof.Invalidate(now)
 	e.dispatcher.Resumed(now)
-	e.egress.ForgetAll()
+	e.egress.CloseAllIdle()
 	e.suspensions.Add(1)
 	select {
 	case e.suspensionEnded <- away:
