--- a/internal/front/entry.go
+++ b/internal/front/entry.go
@@ -40,6 +40,6 @@
 	for _, name := range member.Top("entry/"+team.Name+"/"+r.RemoteAddr, names, entryPointsMost) {
 		doc.EntryPoints = append(doc.EntryPoints, entryPoint{Address: nodes[name].CallerAddress, Hall: nodes[name].Hall})
 	}
-	doc.KeepMs = f.limits.EntryKeep.Milliseconds()
+	doc.KeepMs = f.limits.EntryPointTTL.Milliseconds()
 	f.writeJSON(w, doc)
 }
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -44,8 +44,8 @@
 		Member(name string) (wire.Member, bool)
 	}
 
-	// Caller calls other nodes.
-	Caller interface {
+	// PeerCaller calls other nodes.
+	PeerCaller interface {
 		Call(ctx context.Context, address, method string, params, result any) error
 	}
 
@@ -59,14 +59,14 @@
 		MaxBody      int64         // MaxBody in bytes.
 		WriteTimeout time.Duration // WriteTimeout bounds one write to a caller.
 		ReadTimeout  time.Duration // ReadTimeout bounds the reading of a completion's body.
-		EntryKeep    time.Duration // EntryKeep is how long entry points may be kept.
+		EntryPointTTL    time.Duration // EntryKeep is how long entry points may be kept.
 	}
 
 	// Front serves callers.
 	Front struct {
 		views      Views
 		members    Members
-		peers      Caller
+		peers      PeerCaller
 		schedulers map[config.PoolScheduler]sched.Scheduler
 		engines    *engine.Client
 		journal    *journal.Journal
@@ -97,7 +97,7 @@
 func WithLimits(l Limits) Option { return func(f *Front) { f.limits = l } }
 
 // New returns a front.
-func New(views Views, members Members, peers Caller, engines *engine.Client, j *journal.Journal, tele *telemetry.Telemetry, opts ...Option) *Front {
+func New(views Views, members Members, peers PeerCaller, engines *engine.Client, j *journal.Journal, tele *telemetry.Telemetry, opts ...Option) *Front {
 	f := &Front{
 		views: views, members: members, peers: peers, engines: engines, journal: j, tele: tele,
 		schedulers: map[config.PoolScheduler]sched.Scheduler{}, budget: newRetryBudget(), mux: http.NewServeMux(),
--- a/internal/front/once.go
+++ b/internal/front/once.go
@@ -205,9 +205,9 @@
 	return o
 }
 
-// AnswerOutcome waits for the outcome of a request that this process holds; it
+// HandleOutcome waits for the outcome of a request that this process holds; it
 // is the handler of MethodOutcome.
-func (f *Front) AnswerOutcome(ctx context.Context, req *wire.OutcomeRequest) (any, error) {
+func (f *Front) HandleOutcome(ctx context.Context, req *wire.OutcomeRequest) (any, error) {
 	run := f.registry.Lookup(req.Key, req.Attempt)
 	if run == nil {
 		return &wire.Outcome{State: wire.OutcomeStateUnknown, Reason: "an earlier sending may have run; its holder does not know the outcome"}, nil
--- a/internal/front/rig_test.go
+++ b/internal/front/rig_test.go
@@ -180,7 +180,7 @@
 	f := front.New(views{view}, alone{}, alone{}, client, journal.New(), tele,
 		front.WithScheduler(config.PoolSchedulerDirect, r.sched),
 		front.WithClaims(keeper, claim.NewIssuer(time.Now(), "n1", 1, time.Minute), claim.NewRegistry(time.Minute)),
-		front.WithLimits(front.Limits{MaxBody: maxBody, WriteTimeout: writeTimeout, EntryKeep: time.Second}))
+		front.WithLimits(front.Limits{MaxBody: maxBody, WriteTimeout: writeTimeout, EntryPointTTL: time.Second}))
 	srv := httptest.NewServer(f)
 	t.Cleanup(srv.Close)
 	r.url = srv.URL
--- a/internal/front/run.go
+++ b/internal/front/run.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	// triesMost bounds how many engines one request is sent to.
-	triesMost = 4
+	// maxAttempts bounds how many engines one request is sent to.
+	maxAttempts = 4
 
 	// fullRetryAfter is when to come back where all engines that were tried
 	// refused as full.
@@ -209,7 +209,7 @@
 		return ending{state: journal.Refused, failure: &CallerError{Status: rejected.Status, Code: "engine_rejected", Message: string(rejected.Body)}}, true
 	case errors.Is(err, errCallerGone):
 		return ending{state: journal.Cancelled}, true
-	case notRun && try < triesMost:
+	case notRun && try < maxAttempts:
 		return ending{}, false
 	case notRun:
 		return ending{state: journal.Refused, failure: &CallerError{
@@ -217,7 +217,7 @@
 		}}, true
 	case c.notRepeatable:
 		return ending{state: journal.Unknown, failure: unknown("the engine broke off: " + err.Error())}, true
-	case try < triesMost && (!x.begun() || x.resumable()) && f.budget.take(c.pool.Name):
+	case try < maxAttempts && (!x.begun() || x.resumable()) && f.budget.take(c.pool.Name):
 		return ending{}, false
 	}
 	return ending{state: journal.Unknown, failure: unknown("the engine broke off: " + err.Error())}, true
--- a/internal/front/ticket.go
+++ b/internal/front/ticket.go
@@ -94,9 +94,9 @@
 	return o
 }
 
-// AnswerRun runs a call that a peer forwarded with a ticket of this process; it
+// HandleRun runs a call that a peer forwarded with a ticket of this process; it
 // is the handler of MethodRun.
-func (f *Front) AnswerRun(ctx context.Context, req *wire.RunRequest) (any, error) {
+func (f *Front) HandleRun(ctx context.Context, req *wire.RunRequest) (any, error) {
 	r, err := http.NewRequestWithContext(ctx, req.Method, req.Path, bytes.NewReader(req.Body))
 	if err != nil {
 		return &wire.Outcome{State: wire.OutcomeStateNotRun, Reason: "bad_request"}, nil
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -132,7 +132,7 @@
 		front.WithScheduler(config.PoolSchedulerDirect, n.direct),
 		front.WithScheduler(config.PoolSchedulerRoundRobin, sched.NewRoundRobin(n.store)),
 		front.WithClaims(n.claims, claim.NewIssuer(now, s.Instance, self.Incarnation, ms(s.TicketLifeMs)), claim.NewRegistry(ms(s.TicketLifeMs))),
-		front.WithLimits(front.Limits{MaxBody: int64(s.MaxBodyBytes), WriteTimeout: ms(s.WriteTimeoutMs), EntryKeep: ms(s.EntryKeepMs)}),
+		front.WithLimits(front.Limits{MaxBody: int64(s.MaxBodyBytes), WriteTimeout: ms(s.WriteTimeoutMs), EntryPointTTL: ms(s.EntryKeepMs)}),
 	)
 	n.admin = admin.New(n.store, n.keeper, n.table, n.client, n, log,
 		admin.WithBootstrap(s.BootstrapTokenSha256), admin.WithAccepted(n.members.Kick),
@@ -149,8 +149,8 @@
 	n.server.Handle(broker.MethodCancel, peer.Typed(n.brokers.Cancel))
 	n.server.Handle(broker.MethodReport, peer.Typed(n.brokers.Report))
 	n.server.Handle(broker.MethodPulse, peer.Typed(n.brokers.Pulse))
-	n.server.Handle(front.MethodOutcome, peer.Typed(n.front.AnswerOutcome))
-	n.server.Handle(front.MethodRun, peer.Typed(n.front.AnswerRun))
+	n.server.Handle(front.MethodOutcome, peer.Typed(n.front.HandleOutcome))
+	n.server.Handle(front.MethodRun, peer.Typed(n.front.HandleRun))
 	n.server.Handle(claim.MethodClaims, peer.Typed(n.claims.AnswerClaims))
 	n.server.Handle(methodChanges, peer.Typed(func(_ context.Context, r *wire.ChangesRequest) (any, error) {
 		return n.keeper.Answer(r.After)
