--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -151,17 +151,17 @@
 
 // observe adds the numbers that are read at each scrape.
 func (n *Node) observe() error {
-	return n.tele.Observe(
-		telemetry.Observed{Name: "croftturn.control.bytes.out", Help: "Control bytes sent to peers.", Read: n.traffic.BytesOut.Load},
-		telemetry.Observed{Name: "croftturn.control.bytes.in", Help: "Control bytes received from peers.", Read: n.traffic.BytesIn.Load},
-		telemetry.Observed{Name: "croftturn.control.calls", Help: "Control calls sent and received.", Read: n.traffic.Calls.Load},
-		telemetry.Observed{Name: "croftturn.platform.reads", Help: "Read calls to the platform.", Read: n.platform.Reads.Load},
-		telemetry.Observed{Name: "croftturn.platform.writes", Help: "Transactions sent to the platform.", Read: n.platform.Writes.Load},
-		telemetry.Observed{Name: "croftturn.config.version", Help: "Configuration version in force.", Read: func() int64 { return int64(n.store.Version()) }},
-		telemetry.Observed{Name: "croftturn.requests.live", Help: "Requests that have not ended.", Read: func() int64 { return int64(n.journal.Live()) }},
-		telemetry.Observed{Name: "croftturn.cpu.microseconds", Help: "Processor time used by this process.", Read: cpuMicros},
-		telemetry.Observed{Name: "croftturn.heap.live.bytes", Help: "Heap that the last collection found in use.", Read: func() int64 { return memory("/gc/heap/live:bytes") }},
-		telemetry.Observed{Name: "croftturn.memory.bytes", Help: "Memory that the process has from the system.", Read: func() int64 {
+	return n.tele.RegisterGauges(
+		telemetry.Gauge{Name: "croftturn.control.bytes.out", Help: "Control bytes sent to peers.", Read: n.traffic.BytesOut.Load},
+		telemetry.Gauge{Name: "croftturn.control.bytes.in", Help: "Control bytes received from peers.", Read: n.traffic.BytesIn.Load},
+		telemetry.Gauge{Name: "croftturn.control.calls", Help: "Control calls sent and received.", Read: n.traffic.Calls.Load},
+		telemetry.Gauge{Name: "croftturn.platform.reads", Help: "Read calls to the platform.", Read: n.platform.Reads.Load},
+		telemetry.Gauge{Name: "croftturn.platform.writes", Help: "Transactions sent to the platform.", Read: n.platform.Writes.Load},
+		telemetry.Gauge{Name: "croftturn.config.version", Help: "Configuration version in force.", Read: func() int64 { return int64(n.store.Version()) }},
+		telemetry.Gauge{Name: "croftturn.requests.live", Help: "Requests that have not ended.", Read: func() int64 { return int64(n.journal.Live()) }},
+		telemetry.Gauge{Name: "croftturn.cpu.microseconds", Help: "Processor time used by this process.", Read: cpuMicros},
+		telemetry.Gauge{Name: "croftturn.heap.live.bytes", Help: "Heap that the last collection found in use.", Read: func() int64 { return memory("/gc/heap/live:bytes") }},
+		telemetry.Gauge{Name: "croftturn.memory.bytes", Help: "Memory that the process has from the system.", Read: func() int64 {
 			return memory("/memory/classes/total:bytes") - memory("/memory/classes/heap/released:bytes")
 		}},
 	)
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -57,8 +57,8 @@
 		file   io.Closer
 	}
 
-	// Observed is a number that is read when metrics are scraped.
-	Observed struct {
+	// Gauge is a number that is read when metrics are scraped.
+	Gauge struct {
 		Name, Help string
 		Read       func() int64
 	}
@@ -153,8 +153,8 @@
 	return nil
 }
 
-// Observe adds numbers that are read at each scrape.
-func (t *Telemetry) Observe(list ...Observed) error {
+// RegisterGauges adds numbers that are read at each scrape.
+func (t *Telemetry) RegisterGauges(list ...Gauge) error {
 	for _, o := range list {
 		_, err := t.Meter.Int64ObservableGauge(o.Name, metric.WithDescription(o.Help),
 			metric.WithInt64Callback(func(_ context.Context, obs metric.Int64Observer) error {
