--- a/internal/front/answer.go
+++ b/internal/front/answer.go
@@ -12,30 +12,30 @@
 	"go.opentelemetry.io/otel/propagation"
 )
 
-// Outcomes, as the header and the body of an answer name them.
+// Outcomes in the header and the body of a response.
 const (
 	OutcomeCompleted = "completed"
 	OutcomeNotRun    = "not_run"
 	OutcomeUnknown   = "unknown"
 )
 
-// CallerError is an answer other than the one the caller asked for.
+// CallerError is an error response to a caller.
 type CallerError struct {
 	Status     int
 	Code       string
 	Message    string
 	Outcome    string        // Outcome is not_run unless set.
-	RetryAfter time.Duration // RetryAfter says when to come back; 0 for never with the same request.
+	RetryAfter time.Duration // RetryAfter is when to retry; 0 means the same request can't succeed.
 }
 
-// Error describes the answer.
+// Error implements error.
 func (e *CallerError) Error() string { return fmt.Sprintf("%s: %s", e.Code, e.Message) }
 
-// headerCarrier lets the propagator read headers.
+// headerCarrier adapts headers to the trace propagator.
 func headerCarrier(h http.Header) propagation.HeaderCarrier { return propagation.HeaderCarrier(h) }
 
-// body returns the answer's body, in the shape that callers' client libraries
-// expect of errors.
+// body returns the response body in the error format that client libraries
+// expect.
 func (e *CallerError) body(id string) []byte {
 	var doc struct {
 		Error struct {
@@ -57,7 +57,7 @@
 	return text
 }
 
-// outcome returns the outcome, which is not_run unless set.
+// outcome returns the outcome, by default not_run.
 func (e *CallerError) outcome() string {
 	if e.Outcome == "" {
 		return OutcomeNotRun
@@ -65,7 +65,7 @@
 	return e.Outcome
 }
 
-// errorType returns the published protocol's type for a status.
+// errorType returns the published API's error type for a status.
 func errorType(status int) string {
 	switch {
 	case status == http.StatusTooManyRequests:
@@ -86,15 +86,15 @@
 	}
 }
 
-// fail answers with an error.
+// fail writes an error response.
 func (f *Front) fail(w http.ResponseWriter, id string, e *CallerError) {
 	f.extend(w)
 	if err := e.write(w, id); err != nil {
-		f.tele.Log.Debug("error answer not delivered", "request", id, "error", err.Error())
+		f.tele.Log.Debug("failed to write the error response", "request", id, "error", err.Error())
 	}
 }
 
-// write writes the answer to a request.
+// write writes the error as an HTTP response.
 func (e *CallerError) write(w http.ResponseWriter, id string) error {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// replay answers with an outcome that was recorded, here or at another node.
+// replay writes a response from an outcome recorded here or at another node.
 func (f *Front) replay(w http.ResponseWriter, id string, o wire.Outcome) {
 	f.extend(w)
 	retry := time.Duration(o.RetryAfterMs) * time.Millisecond
@@ -129,7 +129,7 @@
 		}
 		w.WriteHeader(o.Status)
 		if _, err := w.Write(o.Body); err != nil {
-			f.tele.Log.Debug("recorded answer not delivered", "request", id, "error", err.Error())
+			f.tele.Log.Debug("failed to write the recorded response", "request", id, "error", err.Error())
 		}
 	case o.State == wire.OutcomeStateNotRun:
 		f.fail(w, id, &CallerError{Status: http.StatusTooManyRequests, Code: o.Reason, Message: "the request did not run", RetryAfter: retry})
@@ -138,7 +138,7 @@
 	}
 }
 
-// outcomeHeader names a recorded state as callers see it.
+// outcomeHeader returns the header value for a recorded state.
 func outcomeHeader(s wire.OutcomeState) string {
 	switch s {
 	case wire.OutcomeStateDone:
@@ -149,7 +149,7 @@
 	return OutcomeUnknown
 }
 
-// unknown returns the answer for a request that may have run.
+// unknown returns the error for a request that may have run.
 func unknown(reason string) *CallerError {
 	if reason == "" {
 		reason = "the request may have run"
--- a/internal/front/budget.go
+++ b/internal/front/budget.go
@@ -3,36 +3,36 @@
 import "sync"
 
 const (
-	// retryShare is how many retries each first try allows.
+	// retryShare is the number of retries each new request adds to the budget.
 	retryShare = 0.1
 
-	// retryReserve is how many retries are allowed after quiet times.
-	retryReserve = 10
+	// retryBurst is the maximum number of retries the budget accumulates.
+	retryBurst = 10
 )
 
-// retryBudget bounds retries to a share of first tries, so that a failing pool
-// is not loaded further by repetition.
+// retryBudget limits retries to a share of the requests per pool, so that retries
+// don't overload a failing pool.
 type retryBudget struct {
 	mu   sync.Mutex
 	left map[string]float64
 }
 
-// newRetryBudget returns a budget with full reserves.
+// newRetryBudget returns a budget that starts full in each pool.
 func newRetryBudget() *retryBudget { return &retryBudget{left: map[string]float64{}} }
 
-// first counts a first try in a pool.
-func (b *retryBudget) first(pool string) {
+// countRequest adds the retry share of one new request to a pool's budget.
+func (b *retryBudget) countRequest(pool string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	left, known := b.left[pool]
 	if !known {
-		left = retryReserve
+		left = retryBurst
 	}
-	b.left[pool] = min(left+retryShare, retryReserve)
+	b.left[pool] = min(left+retryShare, retryBurst)
 }
 
-// take takes one retry, if there is one.
-func (b *retryBudget) take(pool string) bool {
+// takeRetry spends one retry and reports whether the budget allowed it.
+func (b *retryBudget) takeRetry(pool string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.left[pool] < 1 {
--- a/internal/front/call.go
+++ b/internal/front/call.go
@@ -20,16 +20,16 @@
 )
 
 const (
-	// leastPrefix is the shortest first message that counts as a prefix worth
-	// caching, in bytes.
-	leastPrefix = 256
+	// minPrefixBytes is the minimum length of a first message that is used as a
+	// cacheable prefix, in bytes.
+	minPrefixBytes = 256
 
-	// keyMost bounds an idempotency key, in bytes.
-	keyMost = 200
+	// maxKeyBytes is the maximum length of an idempotency key, in bytes.
+	maxKeyBytes = 200
 )
 
 type (
-	// call is one request of a caller, read and checked.
+	// call is one validated request of a caller.
 	call struct {
 		id            string
 		team          *config.Team
@@ -40,16 +40,16 @@
 		body          []byte
 		arrived       time.Time
 
-		// Of chat completions only:
-		stream    bool
-		wantUsage bool
-		model     string
-		prompt    int
-		maxTokens int
-		prefix    string
-		fields    map[string]json.RawMessage
+		// Chat completions only:
+		stream       bool
+		includeUsage bool
+		model        string
+		prompt       int
+		maxTokens    int
+		prefix       string
+		fields       map[string]json.RawMessage
 
-		// Of plain calls only:
+		// Service calls only:
 		request *http.Request
 		path    string
 	}
@@ -64,7 +64,7 @@
 	return hex.EncodeToString(b[:])
 }
 
-// newCall authenticates a caller and reads what all requests have in common.
+// newCall authenticates a caller and reads the parts common to all requests.
 func (f *Front) newCall(w http.ResponseWriter, r *http.Request) (*call, *CallerError) {
 	view := f.views.View()
 	team, failure := authenticate(view, r)
@@ -81,8 +81,8 @@
 		return nil, &CallerError{Status: http.StatusBadRequest, Code: "unknown_class", Message: "no class " + strconv.Quote(name)}
 	}
 	c.key = r.Header.Get(HeaderKey)
-	if len(c.key) > keyMost {
-		return nil, &CallerError{Status: http.StatusBadRequest, Code: "bad_key", Message: HeaderKey + " is longer than " + strconv.Itoa(keyMost) + " bytes"}
+	if len(c.key) > maxKeyBytes {
+		return nil, &CallerError{Status: http.StatusBadRequest, Code: "bad_key", Message: HeaderKey + " is longer than " + strconv.Itoa(maxKeyBytes) + " bytes"}
 	}
 	marked := r.Header.Get(HeaderNotRepeatable)
 	c.notRepeatable = c.class.NotRepeatable || strings.EqualFold(marked, "true")
@@ -92,7 +92,7 @@
 	return c, nil
 }
 
-// authenticate finds the caller's team.
+// authenticate returns the team of the bearer token.
 func authenticate(view *config.View, r *http.Request) (*config.Team, *CallerError) {
 	token := header.Bearer(r.Header)
 	team := view.TeamByToken(token)
@@ -102,7 +102,7 @@
 	return team, nil
 }
 
-// readBody reads a body of a bounded length; one that is cut short is refused.
+// readBody reads a body of at most limit bytes and refuses a truncated one.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, *CallerError) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	var tooLarge *http.MaxBytesError
@@ -115,7 +115,7 @@
 	return body, nil
 }
 
-// readChat reads a chat completion.
+// readChat parses a chat completion request.
 func (f *Front) readChat(w http.ResponseWriter, r *http.Request) (*call, *CallerError) {
 	c, failure := f.newCall(w, r)
 	if failure != nil {
@@ -132,16 +132,16 @@
 	if c.pool == nil {
 		return nil, &CallerError{Status: http.StatusNotFound, Code: "model_not_found", Message: "no model " + strconv.Quote(doc.Model)}
 	}
-	c.model, c.stream, c.wantUsage = doc.Model, doc.Stream, doc.Options.IncludeUsage
+	c.model, c.stream, c.includeUsage = doc.Model, doc.Stream, doc.Options.IncludeUsage
 	c.maxTokens = doc.outputTokens()
 	c.prompt = len(c.body) / bytesPerToken
-	if len(doc.Messages[0]) >= leastPrefix {
+	if len(doc.Messages[0]) >= minPrefixBytes {
 		c.prefix = strconv.FormatUint(xxhash.Sum64(doc.Messages[0]), 36)
 	}
 	return c, nil
 }
 
-// readService reads a plain call.
+// readService parses a service call.
 func (f *Front) readService(w http.ResponseWriter, r *http.Request) (*call, *CallerError) {
 	name := r.PathValue("pool")
 	pool := f.views.View().Pool(name)
@@ -160,22 +160,22 @@
 	return c, nil
 }
 
-// want returns what the scheduler needs to know.
-func (c *call) want(exclude string) sched.Request {
+// schedRequest returns the scheduler's request; exclude names an engine to avoid.
+func (c *call) schedRequest(exclude string) sched.Request {
 	return sched.Request{
 		ID: c.id, Pool: c.pool.Name, Class: c.class.Name, Team: c.team.Name, PromptTokens: c.prompt,
 		MaxTokens: c.maxTokens, Prefix: c.prefix, Exclude: exclude, Arrived: c.arrived,
 	}
 }
 
-// keyInSystem returns the key with its team, as it is known to all nodes.
-func (c *call) keyInSystem() string { return c.team.Name + "/" + c.key }
+// scopedKey returns the key prefixed with its team, unique across the cluster.
+func (c *call) scopedKey() string { return c.team.Name + "/" + c.key }
 
-// atMostOnce reports whether the key of a call has to be guarded.
+// atMostOnce reports whether a call has a key that must run at most once.
 func (c *call) atMostOnce() bool { return c.notRepeatable && c.key != "" }
 
-// detached returns a context that does not end when the caller goes, for a call
-// whose outcome the caller can ask for again.
+// detached returns a context that survives the caller's disconnect if the call is
+// at-most-once, since the caller can ask for its outcome again.
 func (c *call) detached(ctx context.Context) context.Context {
 	if !c.atMostOnce() {
 		return ctx
--- a/internal/front/chat.go
+++ b/internal/front/chat.go
@@ -17,26 +17,26 @@
 	"github.com/croftturn/croftturn/internal/telemetry"
 )
 
-// chat is the exchange of one chat completion. It always streams from the
-// engine, whatever the caller asked for.
-type chat struct {
+// chatExchange is the exchange of one chat completion. It always streams from the
+// engine, even if the caller did not ask for a stream.
+type chatExchange struct {
 	f *Front
 	c *call
 
-	content strings.Builder // content is what has come so far, over all tries.
-	tokens  int             // tokens that have come so far.
+	content strings.Builder // content is the text received so far, over all tries.
+	tokens  int             // tokens counts the tokens received so far.
 	finish  string
 	usage   *engine.Usage
-	sent    bool // sent says that the caller has received a part.
+	sent    bool // sent is set once part of the response was written to the caller.
 	first   time.Time
 }
 
-// handleChat serves a chat completion.
+// handleChat handles a chat completion.
 func (f *Front) handleChat(w http.ResponseWriter, r *http.Request) {
-	f.handle(w, r, f.readChat, func(c *call) exchange { return &chat{f: f, c: c} })
+	f.handle(w, r, f.readChat, func(c *call) exchange { return &chatExchange{f: f, c: c} })
 }
 
-// handleModels lists the models, in the published shape.
+// handleModels lists the models in the published API's format.
 func (f *Front) handleModels(w http.ResponseWriter, r *http.Request) {
 	view := f.views.View()
 	if _, failure := authenticate(view, r); failure != nil {
@@ -60,24 +60,24 @@
 	f.writeJSON(w, doc)
 }
 
-// writeJSON answers with a document.
+// writeJSON writes a JSON response.
 func (f *Front) writeJSON(w http.ResponseWriter, doc any) {
 	f.extend(w)
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(doc); err != nil {
-		f.tele.Log.Debug("answer not delivered", "error", err.Error())
+		f.tele.Log.Debug("failed to write the response", "error", err.Error())
 	}
 }
 
-// begun reports whether the caller has received a part of the answer.
-func (x *chat) begun() bool { return x.sent }
+// started reports whether part of the response was written to the caller.
+func (x *chatExchange) started() bool { return x.sent }
 
-// resumable reports whether another engine can go on where one broke off: the
-// caller's text so far is given to it as the beginning of its answer.
-func (x *chat) resumable() bool { return x.finish == "" }
+// resumable reports whether another engine can continue the response from the text
+// received so far.
+func (x *chatExchange) resumable() bool { return x.finish == "" }
 
 // send streams the completion from one engine to the caller.
-func (x *chat) send(ctx context.Context, w http.ResponseWriter, g sched.Grant) (sched.Result, error) {
+func (x *chatExchange) send(ctx context.Context, w http.ResponseWriter, g sched.Grant) (sched.Result, error) {
 	res := sched.Result{Status: broker.StatusFailed}
 	body, err := x.requestBody()
 	if err != nil {
@@ -87,7 +87,7 @@
 	stream, err := x.f.engines.Start(ctx, g.Engine.Address, x.header(ctx), body)
 	if err != nil {
 		res.Status = statusOf(ctx, err)
-		return res, goneOr(ctx, err)
+		return res, callerGoneOr(ctx, err)
 	}
 	defer stream.Close()
 	had := x.tokens
@@ -100,13 +100,13 @@
 	if err == nil {
 		return res, nil
 	}
-	if !x.resumable() || errors.Is(goneOr(ctx, err), errCallerGone) {
+	if !x.resumable() || errors.Is(callerGoneOr(ctx, err), errCallerGone) {
 		x.f.tele.Wasted.Add(ctx, int64(x.tokens))
 	}
-	return res, goneOr(ctx, err)
+	return res, callerGoneOr(ctx, err)
 }
 
-// statusOf returns the status of a release after an error, or after none.
+// statusOf returns the release status for a send error, or for nil.
 func statusOf(ctx context.Context, err error) string {
 	switch {
 	case err == nil, errors.Is(err, engine.ErrRejected):
@@ -119,29 +119,29 @@
 	return broker.StatusFailed
 }
 
-// goneOr returns errCallerGone where the caller's context has ended, else err.
-func goneOr(ctx context.Context, err error) error {
+// callerGoneOr wraps err in errCallerGone if the caller's context has ended.
+func callerGoneOr(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return fmt.Errorf("%w: %w", errCallerGone, err)
 	}
 	return err
 }
 
-// header returns the headers for the engine.
-func (x *chat) header(ctx context.Context) http.Header {
+// header returns the engine request's headers.
+func (x *chatExchange) header(ctx context.Context) http.Header {
 	h := http.Header{}
 	h.Set("Content-Type", "application/json")
 	h.Set(engine.HeaderRequestID, x.c.id)
 	if x.c.key != "" {
-		h.Set(HeaderKey, x.c.keyInSystem())
+		h.Set(HeaderKey, x.c.scopedKey())
 	}
 	telemetry.Propagator.Inject(ctx, headerCarrier(h))
 	return h
 }
 
-// requestBody returns the body for the engine: the caller's, streamed, with the
-// tier as priority, and with what has come so far as the answer's beginning.
-func (x *chat) requestBody() ([]byte, error) {
+// requestBody returns the engine request's body: the caller's with streaming
+// enabled, the tier as priority, and the text received so far to continue from.
+func (x *chatExchange) requestBody() ([]byte, error) {
 	fields := make(map[string]json.RawMessage, len(x.c.fields)+6)
 	for k, v := range x.c.fields {
 		fields[k] = v
@@ -161,8 +161,8 @@
 	return text, nil
 }
 
-// continueFrom adds the text so far as a last message to be continued.
-func (x *chat) continueFrom(fields map[string]json.RawMessage) error {
+// continueFrom adds the text received so far as a final message to be continued.
+func (x *chatExchange) continueFrom(fields map[string]json.RawMessage) error {
 	var messages []json.RawMessage
 	if err := json.Unmarshal(fields["messages"], &messages); err != nil {
 		return fmt.Errorf("read messages: %w", err)
@@ -189,8 +189,8 @@
 	return nil
 }
 
-// relay passes events on until the stream is whole.
-func (x *chat) relay(ctx context.Context, w http.ResponseWriter, stream *engine.Stream) error {
+// relay forwards events until the stream is complete.
+func (x *chatExchange) relay(ctx context.Context, w http.ResponseWriter, stream *engine.Stream) error {
 	out := http.NewResponseController(w)
 	for {
 		e, err := stream.Next()
@@ -200,18 +200,18 @@
 		if e.Done {
 			return x.complete(w, out)
 		}
-		x.take(ctx, e)
-		if !x.c.stream || (e.Usage != nil && e.Content == "" && !x.c.wantUsage) {
+		x.recordEvent(ctx, e)
+		if !x.c.stream || (e.Usage != nil && e.Content == "" && !x.c.includeUsage) {
 			continue
 		}
-		if err := x.pass(w, out, e.Data, !stream.Buffered()); err != nil {
+		if err := x.writeEvent(w, out, e.Data, !stream.Buffered()); err != nil {
 			return err
 		}
 	}
 }
 
-// take counts an event.
-func (x *chat) take(ctx context.Context, e engine.Event) {
+// recordEvent updates the text, token count and usage from an event.
+func (x *chatExchange) recordEvent(ctx context.Context, e engine.Event) {
 	if e.Usage != nil {
 		x.usage = e.Usage
 	}
@@ -230,8 +230,8 @@
 	x.f.tele.Tokens.Add(ctx, 1)
 }
 
-// pass writes one event to the caller, and flushes unless more has come already.
-func (x *chat) pass(w http.ResponseWriter, out *http.ResponseController, data []byte, flush bool) error {
+// writeEvent writes one event to the caller; flush is false while more events are buffered.
+func (x *chatExchange) writeEvent(w http.ResponseWriter, out *http.ResponseController, data []byte, flush bool) error {
 	if !x.sent {
 		x.sent = true
 		h := w.Header()
@@ -257,10 +257,10 @@
 	return nil
 }
 
-// complete ends a whole answer.
-func (x *chat) complete(w http.ResponseWriter, out *http.ResponseController) error {
+// complete finishes a complete response.
+func (x *chatExchange) complete(w http.ResponseWriter, out *http.ResponseController) error {
 	if x.c.stream {
-		if err := x.pass(w, out, []byte("[DONE]"), true); err != nil {
+		if err := x.writeEvent(w, out, []byte("[DONE]"), true); err != nil {
 			return err
 		}
 		w.Header().Set(HeaderOutcome, OutcomeCompleted)
@@ -272,8 +272,8 @@
 	return nil
 }
 
-// document returns the whole answer in the published shape.
-func (x *chat) document() any {
+// document returns the non-streaming response in the published API's format.
+func (x *chatExchange) document() any {
 	type message struct {
 		Role    string `json:"role"`
 		Content string `json:"content"`
@@ -301,12 +301,12 @@
 	}
 }
 
-// breakOff ends a stream that is not whole: an error event, no [DONE], and a
-// connection that is cut rather than closed in order.
-func (x *chat) breakOff(w http.ResponseWriter, e *CallerError) {
+// abort ends an incomplete stream with an error event, without [DONE], and aborts
+// the connection.
+func (x *chatExchange) abort(w http.ResponseWriter, e *CallerError) {
 	out := http.NewResponseController(w)
-	if err := x.pass(w, out, e.body(x.c.id), true); err != nil {
-		x.f.tele.Log.Debug("error event not delivered", "request", x.c.id, "error", err.Error())
+	if err := x.writeEvent(w, out, e.body(x.c.id), true); err != nil {
+		x.f.tele.Log.Debug("failed to write the error event", "request", x.c.id, "error", err.Error())
 	}
 	panic(http.ErrAbortHandler)
 }
--- a/internal/front/completion.go
+++ b/internal/front/completion.go
@@ -9,10 +9,10 @@
 	"github.com/croftturn/croftturn/internal/placement"
 )
 
-// bytesPerToken is the guess for a prompt's length in tokens.
+// bytesPerToken is the ratio used to estimate token counts from bytes.
 const bytesPerToken = 4
 
-// completion is what the router reads of a chat completion.
+// completion holds the fields of a chat completion request that the router uses.
 type completion struct {
 	Model     string            `json:"model"`
 	Messages  []json.RawMessage `json:"messages"`
@@ -24,10 +24,10 @@
 	} `json:"stream_options"`
 }
 
-// outputTokens returns the most tokens that the answer may have; 0 if not given.
+// outputTokens returns the limit on output tokens, or 0 if none is given.
 func (c *completion) outputTokens() int { return max(c.MaxTokens, c.MaxNew) }
 
-// parseCompletion reads the body of a chat completion.
+// parseCompletion parses the body of a chat completion request.
 func parseCompletion(body []byte) (*completion, *CallerError) {
 	doc := &completion{}
 	if err := json.Unmarshal(body, doc); err != nil {
@@ -39,9 +39,8 @@
 	return doc, nil
 }
 
-// prompt returns the parts of the prompt. All messages but the last may be shared with
-// other requests, each as far as those before it are the same; lengths in tokens are
-// guessed from those in bytes.
+// prompt returns the parts of the prompt. All messages but the last can form a prefix
+// shared with other requests. Token counts are estimated from bytes.
 func (c *completion) prompt(bytes int) placement.Prompt {
 	p := placement.Prompt{Tokens: bytes / bytesPerToken}
 	for _, m := range c.Messages[:len(c.Messages)-1] {
--- a/internal/front/completions.go
+++ b/internal/front/completions.go
@@ -14,12 +14,12 @@
 	"github.com/croftturn/croftturn/internal/routing"
 )
 
-// HeaderPatience is how long the caller of a chat completion waits, in milliseconds;
-// the route's time where it does not say.
+// HeaderPatience is how long the caller of a chat completion waits, in milliseconds.
+// The route's default applies without it.
 const HeaderPatience = "Croftturn-Patience-Ms"
 
 type (
-	// Dispatcher serves requests whose head was checked and whose body is read.
+	// Dispatcher checks the head of a request and serves it once its body is read.
 	Dispatcher interface {
 		AwaitStart(ctx context.Context, arrived time.Time, r *dispatch.Request)
 		Check(now time.Time, r *dispatch.Request) (*routing.Route, *routing.Team, *dispatch.Refusal)
@@ -27,16 +27,16 @@
 		Refused(now time.Time, r *dispatch.Request, refusal *dispatch.Refusal)
 	}
 
-	// Completions serves chat completions at a node of the users' platform: it decodes
-	// them into the requests that the node's dispatcher serves, as the platform's
-	// adapter does with those of the platform.
+	// Completions serves chat completions at a node on the users' platform. It decodes
+	// them into dispatcher requests, as the platform's adapter does for platform
+	// requests.
 	Completions struct {
 		dispatcher Dispatcher
 		limits     Limits
 		log        *slog.Logger
 	}
 
-	// completionAnswer writes the answer to one completion.
+	// completionAnswer writes the response to one completion.
 	completionAnswer struct {
 		*reply.Writer
 		w   http.ResponseWriter
@@ -45,7 +45,7 @@
 	}
 )
 
-// NewCompletions returns the handler.
+// NewCompletions returns a handler for the completions endpoint.
 func NewCompletions(d Dispatcher, l Limits, log *slog.Logger) http.Handler {
 	c := &Completions{dispatcher: d, limits: l, log: log}
 	mux := http.NewServeMux()
@@ -53,7 +53,7 @@
 	return mux
 }
 
-// ServeHTTP serves one completion.
+// ServeHTTP implements http.Handler.
 func (c *Completions) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrived := clock.Now()
 	a := &completionAnswer{Writer: reply.New(w, c.limits.WriteTimeout), w: w, id: newID(), log: c.log}
@@ -65,7 +65,7 @@
 	c.dispatcher.AwaitStart(r.Context(), arrived, req)
 	route, team, refusal := c.dispatcher.Check(clock.Now(), req)
 	if refusal != nil {
-		w.Header().Set("Connection", "close") // Else the server reads the body before it sends the refusal.
+		w.Header().Set("Connection", "close") // Otherwise the server reads the body before it sends the refusal.
 		c.dispatcher.Refused(clock.Now(), req, refusal)
 		a.Refuse(*refusal)
 		return
@@ -78,13 +78,13 @@
 	a.Finish()
 }
 
-// badRequest refuses a completion that can't be understood.
+// badRequest refuses a completion that is malformed.
 func (c *Completions) badRequest(a *completionAnswer, req *dispatch.Request, failure *CallerError) {
 	c.dispatcher.Refused(clock.Now(), req, &dispatch.Refusal{Reason: dispatch.BadRequest})
 	a.fail(failure)
 }
 
-// completionHead returns the request that a completion stands for, as far as its head tells.
+// completionHead builds the dispatcher request from a completion's line and headers.
 func completionHead(r *http.Request, id string) (*dispatch.Request, *CallerError) {
 	req := &dispatch.Request{
 		ID: id, Host: r.Host, Path: r.URL.EscapedPath(), Target: r.URL.RequestURI(), Method: r.Method, Key: header.Bearer(r.Header),
@@ -95,7 +95,7 @@
 	return req, failure
 }
 
-// read reads a completion whole into the request that it stands for, whose head was checked.
+// read reads and decodes the body into req, within the read timeout.
 func (c *Completions) read(w http.ResponseWriter, r *http.Request, req *dispatch.Request) *CallerError {
 	control := http.NewResponseController(w)
 	if err := control.SetReadDeadline(time.Now().Add(c.limits.ReadTimeout)); err != nil {
@@ -103,7 +103,7 @@
 	}
 	body, failure := readBody(w, r, c.limits.MaxBody)
 	if err := control.SetReadDeadline(time.Time{}); err != nil {
-		c.log.Debug("read deadline not taken back", "request", req.ID, "error", err.Error())
+		c.log.Debug("failed to clear the read deadline", "request", req.ID, "error", err.Error())
 	}
 	if failure != nil {
 		return failure
@@ -111,7 +111,7 @@
 	return decodeCompletion(body, req)
 }
 
-// decodeCompletion adds what a completion asks for to the request that it stands for.
+// decodeCompletion sets the fields of req that come from the body.
 func decodeCompletion(body []byte, req *dispatch.Request) *CallerError {
 	doc, failure := parseCompletion(body)
 	if failure != nil {
@@ -125,7 +125,7 @@
 	return nil
 }
 
-// patience returns how long the caller waits, 0 if it does not say so.
+// patience returns the value of HeaderPatience, or 0 without it.
 func patience(r *http.Request) (time.Duration, *CallerError) {
 	text := r.Header.Get(HeaderPatience)
 	if text == "" {
@@ -138,7 +138,7 @@
 	return time.Duration(ms) * time.Millisecond, nil
 }
 
-// Refuse gives the final answer where no engine gave one.
+// Refuse writes the final error response when no engine answered.
 func (a *completionAnswer) Refuse(r dispatch.Refusal) {
 	e := &CallerError{Status: r.Reason.Status(), Code: string(r.Reason), Message: "the request was not served: " + string(r.Reason), RetryAfter: r.RetryAfter}
 	if r.Reason.MayHaveRun() {
@@ -147,14 +147,14 @@
 	a.fail(e)
 }
 
-// fail answers with an error.
+// fail writes an error response.
 func (a *completionAnswer) fail(e *CallerError) {
 	if err := e.write(a.w, a.id); err != nil {
-		a.log.Debug("error answer not delivered", "request", a.id, "error", err.Error())
+		a.log.Debug("failed to write the error response", "request", a.id, "error", err.Error())
 	}
 }
 
-// Begin begins an engine's answer.
+// Begin starts the response with the engine's status and headers.
 func (a *completionAnswer) Begin(resp *dispatch.Response) {
 	a.w.Header().Set(HeaderRequestID, a.id)
 	a.Writer.Begin(resp)
--- a/internal/front/completions_test.go
+++ b/internal/front/completions_test.go
@@ -19,7 +19,7 @@
 	"github.com/croftturn/croftturn/internal/routing"
 )
 
-// fakeDispatcher refuses requests, or serves them as a test says.
+// fakeDispatcher refuses requests, or serves them with a test's function.
 type fakeDispatcher struct {
 	refusal *dispatch.Refusal
 	serve   func(a dispatch.AnswerWriter)
@@ -44,7 +44,7 @@
 
 func (d *fakeDispatcher) Refused(time.Time, *dispatch.Request, *dispatch.Refusal) { d.refused++ }
 
-// complete sends a body to a server of completions.
+// complete posts a body to the completions endpoint.
 func complete(t *testing.T, d *fakeDispatcher, body string, header map[string]string) (resp *http.Response, text string, err error) {
 	t.Helper()
 	limits := Limits{MaxBody: 4 << 10, WriteTimeout: time.Second, ReadTimeout: time.Second}
@@ -71,9 +71,9 @@
 	return fmt.Sprintf(`{"model":"m","max_tokens":70,"stream":true,"messages":[{"role":"system","content":%q},{"role":"user","content":%q}]}`, strings.Repeat("x", 800), last)
 }
 
-// TestCompletionBecomesARequest holds what the dispatcher is given: that the first
-// messages are shared parts which are told alike in another conversation, and that
-// the answer passes unchanged.
+// TestCompletionBecomesARequest checks the request passed to the dispatcher: leading
+// messages are shared parts with the same ID in another conversation, and the response
+// is relayed unchanged.
 func TestCompletionBecomesARequest(t *testing.T) {
 	d := &fakeDispatcher{serve: func(a dispatch.AnswerWriter) {
 		a.Begin(&dispatch.Response{Status: 200, Header: http.Header{"Content-Type": {"text/event-stream"}, "Connection": {"close"}}, Length: -1})
@@ -98,8 +98,8 @@
 	}
 }
 
-// TestCompletionIsRefused holds the shape of refusals: the status, whether the request
-// ran, and when to come back.
+// TestCompletionIsRefused checks the format of refusals: status, outcome and
+// Retry-After.
 func TestCompletionIsRefused(t *testing.T) {
 	for _, test := range []struct {
 		refusal dispatch.Refusal
@@ -129,7 +129,7 @@
 	}
 }
 
-// TestBadCompletions holds that what is not understood whole is not served.
+// TestBadCompletions checks that malformed or oversized requests are not served.
 func TestBadCompletions(t *testing.T) {
 	for body, want := range map[string]int{
 		`{`: 400, `[]`: 400, `{"model":"m","messages":[]}`: 400, `{"messages":[{"role":"user"}]}`: 400, strings.Repeat(" ", 5<<10): 413,
@@ -145,7 +145,7 @@
 	}
 }
 
-// TestCompletionThatBreaksOff holds that an answer which is not whole does not look whole.
+// TestCompletionThatBreaksOff checks that an aborted response is visibly incomplete.
 func TestCompletionThatBreaksOff(t *testing.T) {
 	d := &fakeDispatcher{serve: func(a dispatch.AnswerWriter) {
 		a.Begin(&dispatch.Response{Status: 200, Header: http.Header{}, Length: -1})
@@ -159,8 +159,8 @@
 	}
 }
 
-// TestTheKeyIsCheckedBeforeTheBodyIsRead holds that a caller without a good key is refused
-// though its body does not come, and before it is read.
+// TestTheKeyIsCheckedBeforeTheBodyIsRead checks that a caller with an unknown key is
+// refused before its body is read, even if the body never arrives.
 func TestTheKeyIsCheckedBeforeTheBodyIsRead(t *testing.T) {
 	d := &fakeDispatcher{refusal: &dispatch.Refusal{Reason: dispatch.UnknownKey}}
 	server := httptest.NewServer(NewCompletions(d, Limits{MaxBody: 4 << 10, WriteTimeout: time.Second, ReadTimeout: time.Minute}, slog.New(slog.DiscardHandler)))
--- a/internal/front/entry.go
+++ b/internal/front/entry.go
@@ -7,12 +7,12 @@
 	"github.com/croftturn/croftturn/internal/wire"
 )
 
-// entryPointsMost is how many addresses a caller is given.
-const entryPointsMost = 4
+// maxEntryPoints is the maximum number of addresses returned to a caller.
+const maxEntryPoints = 4
 
-// handleEntryPoints tells a caller which addresses to use, best first. The
-// order differs from caller to caller, so that kept answers spread; nodes that
-// leave or are suspect are not named.
+// handleEntryPoints returns the addresses a caller should use, best first. The
+// order differs between callers, so that cached responses spread the load. Leaving
+// and suspect nodes are omitted.
 func (f *Front) handleEntryPoints(w http.ResponseWriter, r *http.Request) {
 	team, failure := authenticate(f.views.View(), r)
 	if failure != nil {
@@ -36,8 +36,8 @@
 		KeepMs      int64        `json:"keep_ms"`
 	}
 	doc.EntryPoints = []entryPoint{}
-	// The address with its port tells callers of one team apart.
-	for _, name := range member.Top("entry/"+team.Name+"/"+r.RemoteAddr, names, entryPointsMost) {
+	// The remote address with its port distinguishes callers of one team.
+	for _, name := range member.Top("entry/"+team.Name+"/"+r.RemoteAddr, names, maxEntryPoints) {
 		doc.EntryPoints = append(doc.EntryPoints, entryPoint{Address: nodes[name].CallerAddress, Hall: nodes[name].Hall})
 	}
 	doc.KeepMs = f.limits.EntryPointTTL.Milliseconds()
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -1,6 +1,6 @@
-// Package front serves callers: chat completions for model pools, plain calls
-// for service pools, the entry points and tickets. Each answer is whole, or is
-// visibly not.
+// Package front is the caller-facing HTTP API: chat completions for model pools,
+// calls to service pools, entry points and tickets. A response that is cut short
+// is always recognizable as incomplete.
 package front
 
 import (
@@ -20,49 +20,49 @@
 	"github.com/croftturn/croftturn/internal/wire"
 )
 
-// Headers of the product, besides those of the published protocols.
+// Headers that croftturn adds to those of the published protocols.
 const (
 	HeaderClass         = "Croftturn-Class"          // HeaderClass names the class of a request.
 	HeaderNotRepeatable = "Croftturn-Not-Repeatable" // HeaderNotRepeatable marks a request that must run at most once.
 	HeaderOutcome       = "Croftturn-Outcome"        // HeaderOutcome is completed, not_run or unknown.
-	HeaderRequestID     = "Croftturn-Request-Id"     // HeaderRequestID is the id that explain takes.
+	HeaderRequestID     = "Croftturn-Request-Id"     // HeaderRequestID is the id accepted by the explain statement.
 	HeaderRetryAfterMs  = "Retry-After-Ms"           // HeaderRetryAfterMs is Retry-After in milliseconds.
 	HeaderKey           = "Idempotency-Key"          // HeaderKey carries the caller's key or a ticket.
 )
 
-// Methods that nodes call at each other for requests that must run at most once.
+// RPC methods between nodes for at-most-once requests.
 const (
 	MethodOutcome = "outcome" // MethodOutcome takes an OutcomeRequest and answers with an Outcome.
 	MethodRun     = "run"     // MethodRun takes a RunRequest and answers with an Outcome.
 )
 
 type (
-	// Members tells who the nodes are.
+	// Members lists the cluster's nodes.
 	Members interface {
 		Self() wire.Member
 		Live() []wire.Member
 		Member(name string) (wire.Member, bool)
 	}
 
-	// PeerCaller calls other nodes.
+	// PeerCaller sends RPCs to other nodes.
 	PeerCaller interface {
 		Call(ctx context.Context, address, method string, params, result any) error
 	}
 
-	// Views gives the configuration in force.
+	// Views returns the current configuration.
 	Views interface {
 		View() *config.View
 	}
 
-	// Limits bound what a caller may send and how long things may take.
+	// Limits bounds the size of requests and the duration of reads and writes.
 	Limits struct {
-		MaxBody      int64         // MaxBody in bytes.
-		WriteTimeout time.Duration // WriteTimeout bounds one write to a caller.
-		ReadTimeout  time.Duration // ReadTimeout bounds the reading of a completion's body.
-		EntryPointTTL    time.Duration // EntryKeep is how long entry points may be kept.
+		MaxBody       int64         // MaxBody is in bytes.
+		WriteTimeout  time.Duration // WriteTimeout bounds one write to a caller.
+		ReadTimeout   time.Duration // ReadTimeout bounds the reading of a completion's body.
+		EntryPointTTL time.Duration // EntryPointTTL is how long callers may cache the entry points.
 	}
 
-	// Front serves callers.
+	// Front is the HTTP handler for callers.
 	Front struct {
 		views      Views
 		members    Members
@@ -79,24 +79,24 @@
 		mux        *http.ServeMux
 	}
 
-	// Option sets a part of a Front.
+	// Option configures a Front.
 	Option func(*Front)
 )
 
-// WithScheduler sets the scheduler of pools that are configured so.
+// WithScheduler sets the scheduler for the pools whose configuration names it.
 func WithScheduler(name config.PoolScheduler, s sched.Scheduler) Option {
 	return func(f *Front) { f.schedulers[name] = s }
 }
 
-// WithClaims sets what makes requests run at most once.
+// WithClaims sets the components that enforce at-most-once execution.
 func WithClaims(k *claim.Keeper, i *claim.Issuer, r *claim.Registry) Option {
 	return func(f *Front) { f.claims, f.issuer, f.registry = k, i, r }
 }
 
-// WithLimits sets bounds on callers.
+// WithLimits sets the limits on requests.
 func WithLimits(l Limits) Option { return func(f *Front) { f.limits = l } }
 
-// New returns a front.
+// New returns a Front with its routes registered.
 func New(views Views, members Members, peers PeerCaller, engines *engine.Client, j *journal.Journal, tele *telemetry.Telemetry, opts ...Option) *Front {
 	f := &Front{
 		views: views, members: members, peers: peers, engines: engines, journal: j, tele: tele,
@@ -113,7 +113,7 @@
 	return f
 }
 
-// ServeHTTP serves one request of a caller.
+// ServeHTTP implements http.Handler.
 func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if !f.awaitConfig(r.Context(), clock.Now()) {
 		f.fail(w, "", &CallerError{Status: http.StatusServiceUnavailable, Code: "not_ready", Message: "this node has no configuration yet", RetryAfter: time.Second})
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -17,7 +17,7 @@
 )
 
 func TestBadInput(t *testing.T) {
-	r := newRig(t, answers("a"))
+	r := newTestServer(t, streams("a"))
 	for name, tc := range map[string]struct {
 		path, body string
 		headers    []string
@@ -50,7 +50,7 @@
 }
 
 func TestTruncatedBodyIsRefused(t *testing.T) {
-	r := newRig(t, answers("a"))
+	r := newTestServer(t, streams("a"))
 	req, _ := http.NewRequest(http.MethodPost, r.url+"/v1/chat/completions", strings.NewReader(hello))
 	req.Header.Set("Authorization", "Bearer "+token)
 	req.ContentLength = int64(len(hello)) + 10
@@ -66,7 +66,7 @@
 }
 
 func TestWholeAnswerInBothShapes(t *testing.T) {
-	r := newRig(t, answers("one ", "two"))
+	r := newTestServer(t, streams("one ", "two"))
 	resp, body := r.send(t, "/v1/chat/completions", hello)
 	if text(body) != "one two" || !strings.HasSuffix(body, "data: [DONE]\n\n") || resp.Trailer.Get(front.HeaderOutcome) != front.OutcomeCompleted {
 		t.Errorf("stream = %q, trailer %v", body, resp.Trailer)
@@ -83,14 +83,14 @@
 	}
 }
 
-// TestBrokenStreamGoesOnElsewhere holds that a repeatable answer which broke
-// off is continued by another engine from the caller's text so far.
+// TestBrokenStreamGoesOnElsewhere checks that another engine continues an
+// interrupted repeatable response from the text received so far.
 func TestBrokenStreamGoesOnElsewhere(t *testing.T) {
 	var second string
-	r := newRig(t, cuts("one ", "two "), func(w http.ResponseWriter, req *http.Request) {
+	r := newTestServer(t, streamsThenAborts("one ", "two "), func(w http.ResponseWriter, req *http.Request) {
 		body, _ := io.ReadAll(req.Body)
 		second = string(body)
-		answers("three")(w, req)
+		streams("three")(w, req)
 	})
 	_, body := r.send(t, "/v1/chat/completions", hello)
 	if text(body) != "one two three" || !strings.Contains(body, "[DONE]") {
@@ -101,10 +101,10 @@
 	}
 }
 
-// TestNotRepeatableIsNotSentAgain holds that a request which must run at most
-// once ends as unknown where its engine broke off, visibly and without [DONE].
+// TestNotRepeatableIsNotSentAgain checks that an at-most-once request whose engine
+// failed mid-response ends as unknown, visibly and without [DONE].
 func TestNotRepeatableIsNotSentAgain(t *testing.T) {
-	r := newRig(t, cuts("one "), answers("never"))
+	r := newTestServer(t, streamsThenAborts("one "), streams("never"))
 	_, body := r.send(t, "/v1/chat/completions", hello, front.HeaderClass, "offer", front.HeaderKey, "k1")
 	if strings.Contains(body, "[DONE]") || !strings.Contains(body, `"outcome":"unknown"`) {
 		t.Errorf("stream = %q", body)
@@ -118,11 +118,11 @@
 	}
 }
 
-// TestRefusalAfterABrokenTryIsUnknown holds that a request which began on an
-// engine that broke off, and got no other place, is not said not to have run. It
-// was: 12 such refusals in one run with an engine that crashed.
+// TestRefusalAfterABrokenTryIsUnknown checks that a request which started on an
+// engine that failed, and got no other slot, is not reported as not_run. That
+// happened to 12 requests in one run with a crashed engine.
 func TestRefusalAfterABrokenTryIsUnknown(t *testing.T) {
-	r := newRig(t, cuts())
+	r := newTestServer(t, streamsThenAborts())
 	r.sched.after = &sched.Refusal{Reason: "max_wait", RetryAfter: time.Second}
 	resp, body := r.send(t, "/v1/chat/completions", hello)
 	if resp.Header.Get(front.HeaderOutcome) != front.OutcomeUnknown || code(t, body) != "max_wait" || resp.Header.Get("Retry-After") != "1" {
@@ -132,18 +132,18 @@
 
 func TestMalformedEventBreaksOff(t *testing.T) {
 	bad := func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, event("one "), "data: {\"cho\n\n") }
-	r := newRig(t, bad)
+	r := newTestServer(t, bad)
 	_, body := r.send(t, "/v1/chat/completions", hello)
 	if strings.Contains(body, "[DONE]") || !strings.Contains(body, "outcome_unknown") {
 		t.Errorf("stream = %q", body)
 	}
 }
 
-// TestCallerGoneCancelsTheEngine holds that the engine is told when the caller
-// has gone in mid-stream.
+// TestCallerGoneCancelsTheEngine checks that the engine's request is cancelled when
+// the caller disconnects mid-stream.
 func TestCallerGoneCancelsTheEngine(t *testing.T) {
 	cancelled := make(chan struct{})
-	r := newRig(t, func(w http.ResponseWriter, req *http.Request) {
+	r := newTestServer(t, func(w http.ResponseWriter, req *http.Request) {
 		fmt.Fprint(w, event("one "))
 		http.NewResponseController(w).Flush()
 		<-req.Context().Done()
@@ -165,10 +165,10 @@
 	}
 }
 
-// TestConnectionIsGoodForAnotherRequest holds that the deadline of the last
-// write of one answer does not cut the next answer on the same connection.
+// TestConnectionIsGoodForAnotherRequest checks that the write deadline of one
+// response does not cut off the next response on the same connection.
 func TestConnectionIsGoodForAnotherRequest(t *testing.T) {
-	r := newRig(t, answers("one"))
+	r := newTestServer(t, streams("one"))
 	conn, err := net.Dial("tcp", strings.TrimPrefix(r.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/front/once.go
+++ b/internal/front/once.go
@@ -14,85 +14,85 @@
 )
 
 const (
-	// askHolderTimeout bounds how long the holder of a claim is asked for the
-	// outcome of a request that it may still be running.
+	// askHolderTimeout bounds the wait for the outcome of a request that the claim's
+	// holder may still be running.
 	askHolderTimeout = 30 * time.Second
 
-	// unsettledRetryAfter is when to come back while the platform can't be asked.
-	unsettledRetryAfter = 2 * time.Second
+	// claimUnsettledRetryAfter is the Retry-After while the platform is unavailable.
+	claimUnsettledRetryAfter = 2 * time.Second
 
-	// recordMost bounds a recorded body, in bytes.
-	recordMost = 1 << 20
+	// maxRecordedBytes is the maximum size of a recorded body, in bytes.
+	maxRecordedBytes = 1 << 20
 )
 
-// recorder passes an answer on and keeps a copy of it. The caller may go while
-// the answer is written; the copy is made all the same.
+// recorder relays a response and keeps a copy. The copy is completed even if the
+// caller disconnects.
 type recorder struct {
 	http.ResponseWriter
-	status int
-	body   bytes.Buffer
-	gone   bool
-	full   bool
+	status     int
+	body       bytes.Buffer
+	callerGone bool
+	truncated  bool
 }
 
-// WriteHeader keeps the status.
+// WriteHeader records and relays the status.
 func (r *recorder) WriteHeader(status int) {
 	r.status = status
 	r.ResponseWriter.WriteHeader(status)
 }
 
-// Write keeps a copy, and passes the bytes on while the caller takes them.
+// Write records the bytes and relays them while the caller is connected.
 func (r *recorder) Write(p []byte) (int, error) {
 	if r.status == 0 {
 		r.status = http.StatusOK
 	}
-	if r.body.Len()+len(p) > recordMost {
-		r.full = true
+	if r.body.Len()+len(p) > maxRecordedBytes {
+		r.truncated = true
 	} else {
 		r.body.Write(p)
 	}
-	if !r.gone {
+	if !r.callerGone {
 		if _, err := r.ResponseWriter.Write(p); err != nil {
-			r.gone = true
+			r.callerGone = true
 		}
 	}
 	return len(p), nil
 }
 
-// FlushError flushes to the caller; a caller that has gone is no error.
+// FlushError flushes to the caller; a disconnected caller is no error.
 func (r *recorder) FlushError() error {
-	if !r.gone && http.NewResponseController(r.ResponseWriter).Flush() != nil {
-		r.gone = true
+	if !r.callerGone && http.NewResponseController(r.ResponseWriter).Flush() != nil {
+		r.callerGone = true
 	}
 	return nil
 }
 
-// Unwrap lets a ResponseController reach the connection.
+// Unwrap lets http.ResponseController reach the connection.
 func (r *recorder) Unwrap() http.ResponseWriter { return r.ResponseWriter }
 
-// outcome returns what was recorded.
-func (r *recorder) outcome(end ending) wire.Outcome {
+// outcome returns the recorded outcome.
+func (r *recorder) outcome(end callResult) wire.Outcome {
 	switch {
 	case end.state != journal.Completed:
 		return wire.Outcome{State: wire.OutcomeStateUnknown, Reason: reasonOf(end)}
-	case r.full:
+	case r.truncated:
 		return wire.Outcome{State: wire.OutcomeStateUnknown, Reason: "it completed, but its answer is too long to be kept"}
 	}
 	return wire.Outcome{State: wire.OutcomeStateDone, Status: r.status, ContentType: r.Header().Get("Content-Type"), Body: r.body.Bytes()}
 }
 
-// reasonOf returns an ending's message.
-func reasonOf(end ending) string {
+// reasonOf returns the error message of a result.
+func reasonOf(end callResult) string {
 	if end.failure == nil {
 		return "the request broke off"
 	}
 	return end.failure.Message
 }
 
-// runOnce runs a call whose key must run at most once in the whole system. A
-// key that was seen before gets the first run's outcome, or unknown.
-func (f *Front) runOnce(ctx context.Context, w http.ResponseWriter, c *call, x exchange) ending {
-	run, first := f.registry.Begin(clock.Now(), c.keyInSystem(), c.id)
+// runOnce runs a call whose key must run at most once in the cluster. A key seen
+// before returns the first run's outcome, or unknown.
+func (f *Front) runOnce(ctx context.Context, w http.ResponseWriter, c *call, x exchange) callResult {
+	run, first := f.registry.Begin(clock.Now(), c.scopedKey(), c.id)
 	if !first {
 		<-run.Done()
 		f.journal.Note(clock.Now(), c.id, "", "", "the same key runs or ran here as "+run.Attempt)
@@ -105,30 +105,30 @@
 	return f.runClaimed(ctx, rec, c, x, run)
 }
 
-// replayed answers with a recorded outcome.
-func (f *Front) replayed(w http.ResponseWriter, c *call, o wire.Outcome) ending {
+// replayed writes a recorded outcome and returns the matching result.
+func (f *Front) replayed(w http.ResponseWriter, c *call, o wire.Outcome) callResult {
 	f.replay(w, c.id, o)
 	switch o.State {
 	case wire.OutcomeStateDone:
-		return ending{state: journal.Completed}
+		return callResult{state: journal.Completed}
 	case wire.OutcomeStateNotRun:
-		return ending{state: journal.Refused}
+		return callResult{state: journal.Refused}
 	}
-	return ending{state: journal.Unknown}
+	return callResult{state: journal.Unknown}
 }
 
-// runTicket runs a call whose key is a ticket of this process. Nobody else can
-// run it, so that no write is needed. A ticket that was refused is used up: a
-// sending of it that comes late, by way of another node, must not run after the
+// runTicket runs a call whose key is a ticket issued by this process. No other
+// process can run it, so the platform's table is not written. A refused ticket can't
+// be reused: a delayed duplicate forwarded by another node must not run after the
 // caller was told not_run.
-func (f *Front) runTicket(ctx context.Context, rec *recorder, c *call, x exchange, run *claim.Run) ending {
+func (f *Front) runTicket(ctx context.Context, rec *recorder, c *call, x exchange, run *claim.Run) callResult {
 	if err := f.issuer.Check(clock.Now(), c.key, c.team.Name); err != nil {
 		e := &CallerError{Status: http.StatusBadRequest, Code: "bad_ticket", Message: "the ticket is not valid for this team"}
 		if errors.Is(err, claim.ErrExpiredTicket) {
 			e = unknown("the ticket has expired")
 		}
 		f.registry.Abandon(clock.Now(), run, wire.Outcome{State: wire.OutcomeStateUnknown, Reason: e.Message})
-		return ending{state: journal.Refused, failure: e}
+		return callResult{state: journal.Refused, failure: e}
 	}
 	end := f.run(ctx, rec, c, x, nil)
 	outcome := rec.outcome(end)
@@ -139,44 +139,44 @@
 	return end
 }
 
-// runClaimed runs a call after its key is claimed in the platform's table.
-func (f *Front) runClaimed(ctx context.Context, rec *recorder, c *call, x exchange, run *claim.Run) ending {
-	attempt, err := f.claims.Begin(ctx, c.keyInSystem(), c.id)
+// runClaimed runs a call once its key is claimed in the platform's table.
+func (f *Front) runClaimed(ctx context.Context, rec *recorder, c *call, x exchange, run *claim.Run) callResult {
+	attempt, err := f.claims.Begin(ctx, c.scopedKey(), c.id)
 	if err != nil {
-		return f.notMine(ctx, rec, c, run, err)
+		return f.claimFailed(ctx, rec, c, run, err)
 	}
 	end := f.run(ctx, rec, c, x, func(ctx context.Context) error {
 		f.journal.Note(clock.Now(), c.id, "", "", "claiming its key")
 		return attempt.Claim(ctx, clock.Now())
 	})
-	if end.gateErr != nil {
-		return f.notMine(ctx, rec, c, run, end.gateErr)
+	if end.preconditionErr != nil {
+		return f.claimFailed(ctx, rec, c, run, end.preconditionErr)
 	}
 	if end.state != journal.Refused {
 		f.registry.Finish(clock.Now(), run, rec.outcome(end))
 		return end
 	}
 	if err := attempt.Void(ctx, clock.Now()); err != nil {
-		return f.notMine(ctx, rec, c, run, err)
+		return f.claimFailed(ctx, rec, c, run, err)
 	}
 	f.registry.Abandon(clock.Now(), run, notRun(end.failure))
 	return end
 }
 
-// notMine ends a call whose key this node could not claim or void. It did not
-// run here; whether it ran elsewhere is what the claim's holder says.
-func (f *Front) notMine(ctx context.Context, rec *recorder, c *call, run *claim.Run, err error) ending {
+// claimFailed ends a call whose key this node could not claim or void. The call did
+// not run here; the claim's holder knows whether it ran elsewhere.
+func (f *Front) claimFailed(ctx context.Context, rec *recorder, c *call, run *claim.Run, err error) callResult {
 	var taken *claim.TakenError
 	if !errors.As(err, &taken) {
 		e := unknown("the platform could not be asked whether an earlier sending ran; this one did not")
-		e.Status, e.Code, e.RetryAfter = http.StatusServiceUnavailable, "claim_unsettled", unsettledRetryAfter
+		e.Status, e.Code, e.RetryAfter = http.StatusServiceUnavailable, "claim_unsettled", claimUnsettledRetryAfter
 		f.registry.Abandon(clock.Now(), run, wire.Outcome{State: wire.OutcomeStateUnknown, Reason: e.Message})
-		return ending{state: journal.Unknown, failure: e}
+		return callResult{state: journal.Unknown, failure: e}
 	}
 	f.journal.Note(clock.Now(), c.id, "", "", err.Error())
 	o := wire.Outcome{State: wire.OutcomeStateNotRun, Reason: "superseded"}
 	if !taken.Void() {
-		o = f.askHolder(ctx, c.keyInSystem(), taken.Record)
+		o = f.askHolder(ctx, c.scopedKey(), taken.Record)
 	}
 	f.registry.Abandon(clock.Now(), run, o)
 	return f.replayed(rec, c, o)
@@ -187,7 +187,7 @@
 	return wire.Outcome{State: wire.OutcomeStateNotRun, Reason: e.Code, RetryAfterMs: int(e.RetryAfter.Milliseconds())}
 }
 
-// askHolder asks the process that holds a claim what became of the request.
+// askHolder asks the claim's holder for the outcome of the request.
 func (f *Front) askHolder(ctx context.Context, key string, r claim.Record) wire.Outcome {
 	gone := wire.Outcome{State: wire.OutcomeStateUnknown, Reason: "an earlier sending may have run; the node that took it is gone"}
 	m, ok := f.members.Member(r.Node)
--- a/internal/front/once_test.go
+++ b/internal/front/once_test.go
@@ -12,10 +12,10 @@
 	"github.com/croftturn/croftturn/internal/sched"
 )
 
-// TestRejectedKeyIsNotRunAndMayBeTriedAgain holds that a key whose request the
-// engine rejected gets the engine's status each time it is sent.
+// TestRejectedKeyIsNotRunAndMayBeTriedAgain checks that a key whose request the
+// engine rejected gets the engine's status on every attempt.
 func TestRejectedKeyIsNotRunAndMayBeTriedAgain(t *testing.T) {
-	r := newRig(t, func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "too long", http.StatusBadRequest) })
+	r := newTestServer(t, func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "too long", http.StatusBadRequest) })
 	for range 2 {
 		resp, body := r.send(t, "/v1/chat/completions", hello, front.HeaderClass, "offer", front.HeaderKey, "k1")
 		if resp.StatusCode != http.StatusBadRequest || code(t, body) != "engine_rejected" || resp.Header.Get(front.HeaderOutcome) != front.OutcomeNotRun {
@@ -24,11 +24,11 @@
 	}
 }
 
-// TestSameKeyGetsFirstOutcome holds that a key which was seen before runs no
-// second time and gets the recorded answer.
+// TestSameKeyGetsFirstOutcome checks that a repeated key does not run again and
+// gets the recorded response.
 func TestSameKeyGetsFirstOutcome(t *testing.T) {
 	var runs int
-	r := newRig(t, func(w http.ResponseWriter, req *http.Request) {
+	r := newTestServer(t, func(w http.ResponseWriter, req *http.Request) {
 		runs++
 		fmt.Fprint(w, "accepted")
 	})
@@ -43,10 +43,10 @@
 	}
 }
 
-// TestRefusalIsMadeCertain holds that not_run is said of a key only after no
-// attempt that began before can claim it any more, and that a new try may run.
+// TestRefusalIsMadeCertain checks that not_run is reported for a key only once no
+// earlier attempt can claim it any more, and that a new attempt may run.
 func TestRefusalIsMadeCertain(t *testing.T) {
-	r := newRig(t, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "accepted") })
+	r := newTestServer(t, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "accepted") })
 	stale := claim.NewKeeper(r.table, "n2", 1, time.Millisecond)
 	defer stale.Close()
 	attempt, err := stale.Begin(context.Background(), "alfa/k1", "stale")
@@ -66,11 +66,11 @@
 	}
 }
 
-// TestOutageRefusesKeysButServesTickets holds that in an outage of the platform
-// a key of the caller's own is not run, and a ticket is.
+// TestOutageRefusesKeysButServesTickets checks that during a platform outage calls
+// with a ticket run and calls with the caller's own key don't.
 func TestOutageRefusesKeysButServesTickets(t *testing.T) {
 	runs := 0
-	r := newRig(t, func(w http.ResponseWriter, _ *http.Request) {
+	r := newTestServer(t, func(w http.ResponseWriter, _ *http.Request) {
 		runs++
 		fmt.Fprint(w, "accepted")
 	})
@@ -90,11 +90,11 @@
 	}
 }
 
-// TestRefusedTicketIsUsedUp holds that a sending which comes late does not run a
-// ticket of which not_run was said.
+// TestRefusedTicketIsUsedUp checks that a late duplicate does not run a ticket that
+// was reported as not_run.
 func TestRefusedTicketIsUsedUp(t *testing.T) {
 	runs := 0
-	r := newRig(t, func(w http.ResponseWriter, _ *http.Request) {
+	r := newTestServer(t, func(w http.ResponseWriter, _ *http.Request) {
 		runs++
 		fmt.Fprint(w, "accepted")
 	})
--- a/internal/front/rig_test.go
+++ b/internal/front/rig_test.go
@@ -30,28 +30,28 @@
 	token   = "team-token"
 	maxBody = 4096
 
-	// writeTimeout is short, so that a test can outlast it.
+	// writeTimeout is short so that a test can exceed it.
 	writeTimeout = 300 * time.Millisecond
 )
 
 type (
-	// views holds one configuration.
+	// views returns a fixed configuration.
 	views struct{ view *config.View }
 
-	// alone is a membership of one node.
-	alone struct{}
+	// singleNode is a cluster of one node.
+	singleNode struct{}
 
-	// inTurn gives the engines of a pool in turn, the excluded one last.
-	inTurn struct {
+	// roundRobin schedules the engines of a pool in turn, skipping the excluded one.
+	roundRobin struct {
 		mu       sync.Mutex
 		views    views
 		next     int
 		results  []sched.Result
 		refusals []*sched.Refusal
-		after    *sched.Refusal // after is what comes after the first grant.
+		after    *sched.Refusal // after is the refusal for requests after the first grant.
 	}
 
-	// table is a table in memory that can be out.
+	// table is an in-memory table that can be made unavailable.
 	table struct {
 		mu   sync.Mutex
 		rows map[string]kv.Row
@@ -62,20 +62,20 @@
 // View returns the configuration.
 func (v views) View() *config.View { return v.view }
 
-// Self returns the only member.
-func (alone) Self() wire.Member { return wire.Member{Name: "n1", Incarnation: 1} }
+// Self returns the single member.
+func (singleNode) Self() wire.Member { return wire.Member{Name: "n1", Incarnation: 1} }
 
-// Live returns the only member.
-func (a alone) Live() []wire.Member { return []wire.Member{a.Self()} }
+// Live returns the single member.
+func (a singleNode) Live() []wire.Member { return []wire.Member{a.Self()} }
 
-// Member knows the only member.
-func (a alone) Member(name string) (wire.Member, bool) { return a.Self(), name == "n1" }
+// Member returns the single member.
+func (a singleNode) Member(name string) (wire.Member, bool) { return a.Self(), name == "n1" }
 
-// Call reaches nobody.
-func (alone) Call(context.Context, string, string, any, any) error { return io.ErrClosedPipe }
+// Call always fails.
+func (singleNode) Call(context.Context, string, string, any, any) error { return io.ErrClosedPipe }
 
-// Acquire gives the next engine, or the next refusal where one is planned.
-func (s *inTurn) Acquire(_ context.Context, req sched.Request) (sched.Grant, error) {
+// Acquire grants the next engine, or returns the next planned refusal.
+func (s *roundRobin) Acquire(_ context.Context, req sched.Request) (sched.Grant, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.refusals) > 0 {
@@ -96,8 +96,8 @@
 	}
 }
 
-// Release keeps the result.
-func (s *inTurn) Release(_ sched.Request, _ sched.Grant, res sched.Result) {
+// Release records the result.
+func (s *roundRobin) Release(_ sched.Request, _ sched.Grant, res sched.Result) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.results = append(s.results, res)
@@ -132,9 +132,9 @@
 	return nil
 }
 
-// rig is a front with engines that handlers stand for.
-type rig struct {
-	sched *inTurn
+// testServer is a Front whose engines are test handlers.
+type testServer struct {
+	sched *roundRobin
 	table *table
 	url   string
 }
@@ -151,9 +151,9 @@
 	return tele
 }
 
-// newRig starts a front before some engines; service engines go by the same
-// handlers.
-func newRig(t *testing.T, engines ...http.HandlerFunc) *rig {
+// newTestServer starts a Front with one engine and one backend server per
+// handler.
+func newTestServer(t *testing.T, engines ...http.HandlerFunc) *testServer {
 	t.Helper()
 	c := &config.Config{
 		Classes: []config.Class{{Name: "explain", Tier: 3}, {Name: "offer", Tier: 2, NotRepeatable: true}},
@@ -172,12 +172,12 @@
 		t.Fatal(err)
 	}
 	tele := quietTelemetry(t)
-	r := &rig{sched: &inTurn{views: views{view}}, table: &table{rows: map[string]kv.Row{}}}
+	r := &testServer{sched: &roundRobin{views: views{view}}, table: &table{rows: map[string]kv.Row{}}}
 	client := engine.NewClient(2 * time.Second)
 	t.Cleanup(client.Close)
 	keeper := claim.NewKeeper(r.table, "n1", 1, time.Millisecond)
 	t.Cleanup(keeper.Close)
-	f := front.New(views{view}, alone{}, alone{}, client, journal.New(), tele,
+	f := front.New(views{view}, singleNode{}, singleNode{}, client, journal.New(), tele,
 		front.WithScheduler(config.PoolSchedulerDirect, r.sched),
 		front.WithClaims(keeper, claim.NewIssuer(time.Now(), "n1", 1, time.Minute), claim.NewRegistry(time.Minute)),
 		front.WithLimits(front.Limits{MaxBody: maxBody, WriteTimeout: writeTimeout, EntryPointTTL: time.Second}))
@@ -187,9 +187,9 @@
 	return r
 }
 
-// send posts a body with headers given in pairs and returns status, headers and
-// the answer's text, which is cut where the connection was.
-func (r *rig) send(t *testing.T, path, body string, headers ...string) (*http.Response, string) {
+// send posts a body with headers given in pairs and returns the response and its
+// body, which is truncated if the connection was cut.
+func (r *testServer) send(t *testing.T, path, body string, headers ...string) (*http.Response, string) {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodPost, r.url+path, strings.NewReader(body))
 	if err != nil {
@@ -205,12 +205,12 @@
 	}
 	defer resp.Body.Close()
 	var text bytes.Buffer
-	io.Copy(&text, resp.Body) // A cut answer is what some tests look for.
+	io.Copy(&text, resp.Body) // Some tests expect a truncated response.
 	return resp, text.String()
 }
 
-// ticket gets a ticket.
-func (r *rig) ticket(t *testing.T) string {
+// ticket requests a ticket.
+func (r *testServer) ticket(t *testing.T) string {
 	t.Helper()
 	_, body := r.send(t, "/v1/tickets", "")
 	var doc struct{ Ticket string }
@@ -220,7 +220,7 @@
 	return doc.Ticket
 }
 
-// code takes the code out of an error answer.
+// code returns the code of an error response.
 func code(t *testing.T, text string) string {
 	t.Helper()
 	var doc struct {
@@ -232,13 +232,13 @@
 	return doc.Error.Code
 }
 
-// event returns one event of a stream with a text.
+// event returns one stream event with the given text.
 func event(text string) string {
 	return fmt.Sprintf("data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":%q}}]}\n\n", text)
 }
 
-// answers returns a handler that streams words and ends as it should.
-func answers(words ...string) http.HandlerFunc {
+// streams returns a handler that streams words and completes the stream.
+func streams(words ...string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		for _, word := range words {
 			fmt.Fprint(w, event(word))
@@ -247,8 +247,8 @@
 	}
 }
 
-// cuts returns a handler that streams words and cuts the connection.
-func cuts(words ...string) http.HandlerFunc {
+// streamsThenAborts returns a handler that streams words and aborts the connection.
+func streamsThenAborts(words ...string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		for _, word := range words {
 			fmt.Fprint(w, event(word))
@@ -258,7 +258,7 @@
 	}
 }
 
-// text joins the contents of a stream's events.
+// text returns the concatenated contents of a stream's events.
 func text(stream string) string {
 	var b strings.Builder
 	for _, line := range strings.Split(stream, "\n") {
@@ -272,5 +272,5 @@
 	return b.String()
 }
 
-// hello is the body of a chat completion that is streamed.
+// hello is the body of a streaming chat completion request.
 const hello = `{"model":"m","stream":true,"messages":[{"role":"user","content":"hi"}]}`
--- a/internal/front/run.go
+++ b/internal/front/run.go
@@ -19,49 +19,49 @@
 )
 
 const (
-	// maxAttempts bounds how many engines one request is sent to.
+	// maxAttempts is the maximum number of engines one request is sent to.
 	maxAttempts = 4
 
-	// fullRetryAfter is when to come back where all engines that were tried
-	// refused as full.
-	fullRetryAfter = time.Second
+	// engineFullRetryAfter is the Retry-After when all engines that were tried
+	// rejected the request as full.
+	engineFullRetryAfter = time.Second
 
-	// fullPause is the wait before the next engine is asked for.
-	fullPause = 20 * time.Millisecond
+	// engineFullDelay is the delay before the next attempt after an engine was full.
+	engineFullDelay = 20 * time.Millisecond
 )
 
 type (
-	// gate is passed after a request got its place and before its first byte
-	// goes to the engine. An error means that it must not go.
-	gate func(ctx context.Context) error
+	// precondition is checked after a slot is acquired and before the first byte is
+	// sent to the engine. On error the request must not be sent.
+	precondition func(ctx context.Context) error
 
-	// exchange sends a call to an engine and its answer to the caller. It is
-	// used for one call; send may be called again after an error.
+	// exchange sends a call to an engine and relays the response to the caller.
+	// It serves one call; send may be called again after an error.
 	exchange interface {
-		// send returns what was learned, and an error of the engine package, or
-		// errCallerGone.
+		// send returns the result for the scheduler, and an error of the engine
+		// package or errCallerGone.
 		send(ctx context.Context, w http.ResponseWriter, g sched.Grant) (sched.Result, error)
-		// begun reports whether the caller has received a part of the answer.
-		begun() bool
-		// resumable reports whether send can go on where it broke off.
+		// started reports whether part of the response was written to the caller.
+		started() bool
+		// resumable reports whether send can continue an interrupted response.
 		resumable() bool
-		// breakOff ends an answer that is not whole, so that the caller sees it.
-		breakOff(w http.ResponseWriter, e *CallerError)
+		// abort ends an incomplete response so that the caller can detect it.
+		abort(w http.ResponseWriter, e *CallerError)
 	}
 
-	// ending is how a call ended.
-	ending struct {
-		state   string       // state is one of the journal's.
-		failure *CallerError // failure is what the caller still has to be told; nil for nothing.
-		gateErr error        // gateErr is what the gate said.
+	// callResult is the result of a call.
+	callResult struct {
+		state           string       // state is one of the journal's states.
+		failure         *CallerError // failure is the error still to be sent to the caller, if any.
+		preconditionErr error        // preconditionErr is the error of a failed precondition.
 	}
 )
 
-// errCallerGone says that the caller can't be written to any more.
+// errCallerGone means that the caller has disconnected.
 var errCallerGone = errors.New("front: the caller has gone")
 
-// handle reads a call and serves it, here or at the process that issued its
-// ticket.
+// handle parses a call and serves it here, or forwards it to the process that
+// issued its ticket.
 func (f *Front) handle(w http.ResponseWriter, r *http.Request, read func(http.ResponseWriter, *http.Request) (*call, *CallerError), with func(c *call) exchange) {
 	c, failure := read(w, r)
 	if failure != nil {
@@ -74,13 +74,13 @@
 	f.serve(r.Context(), w, c, with(c))
 }
 
-// serve runs a call from its journal entry to its last byte.
+// serve runs a call and records it in the journal.
 func (f *Front) serve(ctx context.Context, w http.ResponseWriter, c *call, x exchange) {
 	span := trace.SpanFromContext(ctx)
 	span.SetAttributes(attribute.String("request", c.id), attribute.String("class", c.class.Name), attribute.String("team", c.team.Name))
 	w.Header().Set(HeaderRequestID, c.id)
 	f.journal.Begin(c.arrived, journal.Entry{ID: c.id, Class: c.class.Name, Team: c.team.Name, Pool: c.pool.Name, Tier: c.class.Tier})
-	var end ending
+	var end callResult
 	if c.atMostOnce() {
 		end = f.runOnce(c.detached(ctx), w, c, x)
 	} else {
@@ -89,8 +89,8 @@
 	f.finish(w, c, x, end)
 }
 
-// finish tells the caller what it still has to be told, and records the end.
-func (f *Front) finish(w http.ResponseWriter, c *call, x exchange, end ending) {
+// finish records the result of a call and sends a pending error to the caller.
+func (f *Front) finish(w http.ResponseWriter, c *call, x exchange, end callResult) {
 	reason := ""
 	if end.failure != nil {
 		reason = end.failure.Code
@@ -102,67 +102,67 @@
 		"state", end.state, "reason", reason, "ms", clock.Since(c.arrived).Milliseconds())
 	switch {
 	case end.failure == nil:
-	case x.begun():
-		x.breakOff(w, end.failure)
+	case x.started():
+		x.abort(w, end.failure)
 	default:
 		f.fail(w, c.id, end.failure)
 	}
 }
 
-// run gets a place, passes the gate, and sends the call, again on another
-// engine where that is allowed.
-func (f *Front) run(ctx context.Context, w http.ResponseWriter, c *call, x exchange, pass gate) ending {
+// run acquires a slot, checks the precondition and sends the call, retrying on
+// another engine where that is allowed.
+func (f *Front) run(ctx context.Context, w http.ResponseWriter, c *call, x exchange, check precondition) callResult {
 	scheduler := f.schedulers[c.pool.Scheduler]
-	f.budget.first(c.pool.Name)
+	f.budget.countRequest(c.pool.Name)
 	exclude, started := "", false
 	for try := 1; ; try++ {
-		want := c.want(exclude)
+		want := c.schedRequest(exclude)
 		g, err := f.acquire(ctx, scheduler, want)
 		if err != nil {
-			return f.noPlace(ctx, err).after(started)
+			return f.acquireFailed(ctx, err).withEarlierTry(started)
 		}
 		f.journal.Note(clock.Now(), c.id, journal.Running, g.Engine.Name, g.Why)
-		if pass != nil {
-			if err := pass(ctx); err != nil {
+		if check != nil {
+			if err := check(ctx); err != nil {
 				scheduler.Release(want, g, sched.Result{Status: broker.StatusCancelled})
-				return ending{state: journal.Refused, gateErr: err}
+				return callResult{state: journal.Refused, preconditionErr: err}
 			}
-			pass = nil
+			check = nil
 		}
 		res, err := f.send(ctx, w, c, x, g)
 		scheduler.Release(want, g, res)
 		if err == nil {
-			return ending{state: journal.Completed}
+			return callResult{state: journal.Completed}
 		}
 		f.journal.Note(clock.Now(), c.id, "", "", "engine "+g.Engine.Name+": "+err.Error())
 		if end, over := f.afterFailure(c, x, err, try); over {
-			return end.after(started)
+			return end.withEarlierTry(started)
 		}
 		exclude = g.Engine.Name
 		started = started || !neverRan(err)
 		if errors.Is(err, engine.ErrFull) {
-			pause.For(ctx, fullPause)
+			pause.For(ctx, engineFullDelay)
 		}
 		f.tele.Retries.Add(ctx, 1)
 	}
 }
 
-// acquire waits for a place under a span.
+// acquire waits for a slot within a trace span.
 func (f *Front) acquire(ctx context.Context, s sched.Scheduler, want sched.Request) (sched.Grant, error) {
 	ctx, span := f.tele.Tracer.Start(ctx, "acquire")
 	defer span.End()
 	return s.Acquire(ctx, want)
 }
 
-// send sends a call to an engine under a span.
+// send sends a call to an engine within a trace span.
 func (f *Front) send(ctx context.Context, w http.ResponseWriter, c *call, x exchange, g sched.Grant) (sched.Result, error) {
 	ctx, span := f.tele.Tracer.Start(ctx, "engine "+g.Engine.Name, trace.WithSpanKind(trace.SpanKindClient))
 	defer span.End()
 	return x.send(ctx, w, g)
 }
 
-// noPlace turns a scheduler's error into an ending.
-func (f *Front) noPlace(ctx context.Context, err error) ending {
+// acquireFailed turns a scheduler's error into a callResult.
+func (f *Front) acquireFailed(ctx context.Context, err error) callResult {
 	var refusal *sched.Refusal
 	switch {
 	case errors.As(err, &refusal):
@@ -170,26 +170,26 @@
 		if refusal.Reason == sched.ReasonNoEngine {
 			status = http.StatusServiceUnavailable
 		}
-		return ending{state: journal.Refused, failure: &CallerError{
+		return callResult{state: journal.Refused, failure: &CallerError{
 			Status: status, Code: refusal.Reason, Message: refusal.Why, RetryAfter: refusal.RetryAfter,
 		}}
 	case ctx.Err() != nil:
-		return ending{state: journal.Cancelled}
+		return callResult{state: journal.Cancelled}
 	}
-	return ending{state: journal.Refused, failure: &CallerError{
+	return callResult{state: journal.Refused, failure: &CallerError{
 		Status: http.StatusServiceUnavailable, Code: "no_place", Message: err.Error(), RetryAfter: time.Second,
 	}}
 }
 
-// neverRan reports whether an error says that the request did not run at all on
-// the engine it was sent to.
+// neverRan reports whether an error guarantees that the engine did not run the
+// request.
 func neverRan(err error) bool {
 	return errors.Is(err, engine.ErrFull) || errors.Is(err, engine.ErrNotSent)
 }
 
-// after returns the ending of a request of which an earlier try may have run: it
-// is never said of such a one that it did not.
-func (e ending) after(started bool) ending {
+// withEarlierTry reports the outcome as unknown instead of not_run if an earlier
+// try may have run.
+func (e callResult) withEarlierTry(started bool) callResult {
 	if !started || e.failure == nil || e.failure.outcome() != OutcomeNotRun {
 		return e
 	}
@@ -200,25 +200,25 @@
 	return e
 }
 
-// afterFailure decides what follows a failed try: an ending, or another try.
-func (f *Front) afterFailure(c *call, x exchange, err error, try int) (ending, bool) {
+// afterFailure returns the result after a failed try, or false to retry.
+func (f *Front) afterFailure(c *call, x exchange, err error, try int) (callResult, bool) {
 	var rejected *engine.RejectedError
 	notRun := neverRan(err)
 	switch {
 	case errors.As(err, &rejected):
-		return ending{state: journal.Refused, failure: &CallerError{Status: rejected.Status, Code: "engine_rejected", Message: string(rejected.Body)}}, true
+		return callResult{state: journal.Refused, failure: &CallerError{Status: rejected.Status, Code: "engine_rejected", Message: string(rejected.Body)}}, true
 	case errors.Is(err, errCallerGone):
-		return ending{state: journal.Cancelled}, true
+		return callResult{state: journal.Cancelled}, true
 	case notRun && try < maxAttempts:
-		return ending{}, false
+		return callResult{}, false
 	case notRun:
-		return ending{state: journal.Refused, failure: &CallerError{
-			Status: http.StatusTooManyRequests, Code: sched.ReasonEngineFull, Message: "the engines that were tried take no work", RetryAfter: fullRetryAfter,
+		return callResult{state: journal.Refused, failure: &CallerError{
+			Status: http.StatusTooManyRequests, Code: sched.ReasonEngineFull, Message: "the engines that were tried take no work", RetryAfter: engineFullRetryAfter,
 		}}, true
 	case c.notRepeatable:
-		return ending{state: journal.Unknown, failure: unknown("the engine broke off: " + err.Error())}, true
-	case try < maxAttempts && (!x.begun() || x.resumable()) && f.budget.take(c.pool.Name):
-		return ending{}, false
+		return callResult{state: journal.Unknown, failure: unknown("the engine broke off: " + err.Error())}, true
+	case try < maxAttempts && (!x.started() || x.resumable()) && f.budget.takeRetry(c.pool.Name):
+		return callResult{}, false
 	}
-	return ending{state: journal.Unknown, failure: unknown("the engine broke off: " + err.Error())}, true
+	return callResult{state: journal.Unknown, failure: unknown("the engine broke off: " + err.Error())}, true
 }
--- a/internal/front/service.go
+++ b/internal/front/service.go
@@ -16,56 +16,56 @@
 	"github.com/croftturn/croftturn/internal/telemetry"
 )
 
-// copyBuffer is how much of a plain answer is passed on at once, in bytes.
+// copyBuffer is the buffer size for copying a response, in bytes.
 const copyBuffer = 32 << 10
 
-// plain is the exchange of one plain call.
-type plain struct {
+// serviceExchange is the exchange of one service call.
+type serviceExchange struct {
 	f    *Front
 	c    *call
 	sent bool
 }
 
-// handleService serves a plain call to a service pool.
+// handleService handles a call to a service pool.
 func (f *Front) handleService(w http.ResponseWriter, r *http.Request) {
-	f.handle(w, r, f.readService, func(c *call) exchange { return &plain{f: f, c: c} })
+	f.handle(w, r, f.readService, func(c *call) exchange { return &serviceExchange{f: f, c: c} })
 }
 
-// begun reports whether the caller has received a part of the answer.
-func (x *plain) begun() bool { return x.sent }
+// started reports whether part of the response was written to the caller.
+func (x *serviceExchange) started() bool { return x.sent }
 
-// resumable reports that a plain answer can't be gone on with.
-func (x *plain) resumable() bool { return false }
+// resumable returns false: a service response can't be resumed on another server.
+func (x *serviceExchange) resumable() bool { return false }
 
-// send makes the call at one backend server and passes its answer on.
-func (x *plain) send(ctx context.Context, w http.ResponseWriter, g sched.Grant) (sched.Result, error) {
+// send sends the call to one backend server and relays its response.
+func (x *serviceExchange) send(ctx context.Context, w http.ResponseWriter, g sched.Grant) (sched.Result, error) {
 	started := clock.Now()
 	h := header.EndToEnd(x.c.request.Header)
-	h.Del("Authorization") // The team's token is between the caller and the router.
+	h.Del("Authorization") // The team's token is not disclosed to backend servers.
 	h.Set(engine.HeaderRequestID, x.c.id)
 	if x.c.key != "" {
-		h.Set(HeaderKey, x.c.keyInSystem())
+		h.Set(HeaderKey, x.c.scopedKey())
 	}
 	telemetry.Propagator.Inject(ctx, headerCarrier(h))
 	resp, err := x.f.engines.Do(ctx, x.c.request.Method, "http://"+g.Engine.Address+x.c.path, h, x.c.body)
 	if err == nil {
-		err = x.pass(w, resp)
+		err = x.copyResponse(w, resp)
 	}
 	res := sched.Result{Status: statusOf(ctx, err), Duration: clock.Since(started)}
 	if res.Status == broker.StatusOK {
 		res.OutputTokens = 1
 	}
 	if err != nil {
-		return res, goneOr(ctx, err)
+		return res, callerGoneOr(ctx, err)
 	}
 	return res, nil
 }
 
-// pass copies an answer to the caller.
-func (x *plain) pass(w http.ResponseWriter, resp *http.Response) error {
+// copyResponse copies a response to the caller.
+func (x *serviceExchange) copyResponse(w http.ResponseWriter, resp *http.Response) error {
 	defer resp.Body.Close()
 	if resp.ContentLength >= 0 && resp.ContentLength <= copyBuffer {
-		return x.passWhole(w, resp)
+		return x.copyBuffered(w, resp)
 	}
 	x.copyHeader(w, resp)
 	buf := make([]byte, copyBuffer)
@@ -86,9 +86,9 @@
 	}
 }
 
-// passWhole reads a short answer before its first byte goes to the caller, so
-// that one which breaks off can be tried again.
-func (x *plain) passWhole(w http.ResponseWriter, resp *http.Response) error {
+// copyBuffered reads a short response completely before writing it to the
+// caller, so that a truncated one can be retried.
+func (x *serviceExchange) copyBuffered(w http.ResponseWriter, resp *http.Response) error {
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
 		return fmt.Errorf("read answer: %w: %w", engine.ErrBroken, err)
@@ -101,8 +101,8 @@
 	return nil
 }
 
-// copyHeader passes status and headers on.
-func (x *plain) copyHeader(w http.ResponseWriter, resp *http.Response) {
+// copyHeader copies the status and the end-to-end headers.
+func (x *serviceExchange) copyHeader(w http.ResponseWriter, resp *http.Response) {
 	x.sent = true
 	h := w.Header()
 	for k, v := range header.EndToEnd(resp.Header) {
@@ -116,6 +116,5 @@
 	w.WriteHeader(resp.StatusCode)
 }
 
-// breakOff cuts the connection, so that the caller sees that its answer is not
-// whole.
-func (x *plain) breakOff(http.ResponseWriter, *CallerError) { panic(http.ErrAbortHandler) }
+// abort closes the connection, so that the caller sees an incomplete response.
+func (x *serviceExchange) abort(http.ResponseWriter, *CallerError) { panic(http.ErrAbortHandler) }
--- a/internal/front/service_test.go
+++ b/internal/front/service_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-// TestHopByHopHeadersAreDropped holds that what concerns one connection, and
-// the team's token, does not reach a backend server.
+// TestHopByHopHeadersAreDropped checks that hop-by-hop headers and the team's token
+// don't reach a backend server.
 func TestHopByHopHeadersAreDropped(t *testing.T) {
 	var got http.Header
-	r := newRig(t, func(w http.ResponseWriter, req *http.Request) {
+	r := newTestServer(t, func(w http.ResponseWriter, req *http.Request) {
 		got = req.Header.Clone()
 		w.Header().Set("Keep-Alive", "timeout=5")
 		fmt.Fprint(w, "x")
--- a/internal/front/start.go
+++ b/internal/front/start.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	// startWait is how long a request waits at a node that has just started and has no
-	// configuration yet: others name it as an entry point as soon as they hear from it, which
-	// may be before. It had one 10 ms after such a request was refused.
-	startWait = 500 * time.Millisecond
+	// configWait is how long a request waits at a starting node for its first configuration.
+	// Other nodes advertise a node as an entry point as soon as they hear from it, which can
+	// be earlier: a request was refused 10 ms before the configuration arrived.
+	configWait = 500 * time.Millisecond
 
-	// startPoll is how often the node looks whether it has one.
-	startPoll = 5 * time.Millisecond
+	// configPollInterval is how often the node checks for a configuration.
+	configPollInterval = 5 * time.Millisecond
 )
 
-// awaitConfig waits for the node's first configuration, and reports whether it has one.
+// awaitConfig waits for the first configuration and reports whether one is available.
 func (f *Front) awaitConfig(ctx context.Context, arrived time.Time) bool {
-	for now := arrived; f.views.View() == nil && now.Sub(arrived) < startWait && ctx.Err() == nil; now = clock.Now() {
-		pause.For(ctx, startPoll)
+	for now := arrived; f.views.View() == nil && now.Sub(arrived) < configWait && ctx.Err() == nil; now = clock.Now() {
+		pause.For(ctx, configPollInterval)
 	}
 	return f.views.View() != nil
 }
--- a/internal/front/start_test.go
+++ b/internal/front/start_test.go
@@ -12,13 +12,13 @@
 	"github.com/croftturn/croftturn/internal/journal"
 )
 
-// lateViews has no configuration until it is set.
-type lateViews struct{ view atomic.Pointer[config.View] }
+// delayedViews returns no configuration until one is stored.
+type delayedViews struct{ view atomic.Pointer[config.View] }
 
-func (v *lateViews) View() *config.View { return v.view.Load() }
+func (v *delayedViews) View() *config.View { return v.view.Load() }
 
-// TestRequestAtANodeThatStarts holds that a request which comes before its node has a
-// configuration waits for it, and is refused as not run where none comes soon.
+// TestRequestAtANodeThatStarts checks that a request to a node without configuration
+// waits for one, and is refused as not_run if none arrives in time.
 func TestRequestAtANodeThatStarts(t *testing.T) {
 	view, err := config.NewView(&config.Config{
 		Classes: []config.Class{{Name: "explain", Tier: 3}},
@@ -28,8 +28,8 @@
 		t.Fatal(err)
 	}
 	tele := quietTelemetry(t)
-	views := &lateViews{}
-	server := httptest.NewServer(front.New(views, alone{}, alone{}, nil, journal.New(), tele, front.WithLimits(front.Limits{MaxBody: maxBody, WriteTimeout: writeTimeout})))
+	views := &delayedViews{}
+	server := httptest.NewServer(front.New(views, singleNode{}, singleNode{}, nil, journal.New(), tele, front.WithLimits(front.Limits{MaxBody: maxBody, WriteTimeout: writeTimeout})))
 	t.Cleanup(server.Close)
 	ask := func() int {
 		req, err := http.NewRequest(http.MethodGet, server.URL+"/v1/models", nil)
--- a/internal/front/ticket.go
+++ b/internal/front/ticket.go
@@ -13,20 +13,20 @@
 	"github.com/croftturn/croftturn/internal/wire"
 )
 
-// memoryWriter keeps an answer that goes to a peer rather than to a caller.
+// memoryWriter buffers a response that is returned to a peer.
 type memoryWriter struct {
 	header http.Header
 	status int
 	body   bytes.Buffer
 }
 
-// Header returns the headers.
+// Header implements http.ResponseWriter.
 func (m *memoryWriter) Header() http.Header { return m.header }
 
-// WriteHeader keeps the status.
+// WriteHeader implements http.ResponseWriter.
 func (m *memoryWriter) WriteHeader(status int) { m.status = status }
 
-// Write keeps the body.
+// Write implements io.Writer.
 func (m *memoryWriter) Write(p []byte) (int, error) {
 	if m.status == 0 {
 		m.status = http.StatusOK
@@ -34,14 +34,14 @@
 	return m.body.Write(p)
 }
 
-// FlushError has nothing to flush.
+// FlushError does nothing; http.ResponseController calls it.
 func (m *memoryWriter) FlushError() error { return nil }
 
-// SetWriteDeadline has no deadline to keep.
+// SetWriteDeadline does nothing; http.ResponseController calls it.
 func (m *memoryWriter) SetWriteDeadline(time.Time) error { return nil }
 
-// handleTicket issues a ticket: a key that only this process will run, and that
-// any node forwards here.
+// handleTicket issues a ticket: an idempotency key that only this process runs and
+// that other nodes forward here.
 func (f *Front) handleTicket(w http.ResponseWriter, r *http.Request) {
 	team, failure := authenticate(f.views.View(), r)
 	if failure != nil {
@@ -53,8 +53,8 @@
 	}{f.issuer.Issue(clock.Now(), team.Name)})
 }
 
-// forwarded hands a call whose ticket another process issued to that process,
-// and reports whether it did.
+// forwarded checks a ticket, forwards the call if another process issued it, and
+// reports whether a response was written.
 func (f *Front) forwarded(w http.ResponseWriter, r *http.Request, c *call) bool {
 	if !claim.IsTicket(c.key) {
 		return false
@@ -73,7 +73,7 @@
 	return true
 }
 
-// forward calls the process that issued a ticket and returns its outcome.
+// forward sends a call to the process that issued its ticket and returns the outcome.
 func (f *Front) forward(ctx context.Context, r *http.Request, c *call, t claim.Ticket) wire.Outcome {
 	m, ok := f.members.Member(t.Node)
 	if !ok || m.Incarnation != t.Incarnation || m.State == wire.MemberStateD {
@@ -111,7 +111,7 @@
 	return f.recorded(rec, broken), nil
 }
 
-// serveInto serves a request and reports whether its answer broke off.
+// serveInto serves a request and reports whether the response was aborted.
 func (f *Front) serveInto(w http.ResponseWriter, r *http.Request) (broken bool) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -125,7 +125,7 @@
 	return false
 }
 
-// recorded turns a recorded answer into an outcome.
+// recorded turns a buffered response into an outcome.
 func (f *Front) recorded(rec *memoryWriter, broken bool) *wire.Outcome {
 	o := &wire.Outcome{State: wire.OutcomeStateUnknown, Status: rec.status, ContentType: rec.Header().Get("Content-Type"), Body: rec.body.Bytes()}
 	o.RetryAfterMs, _ = strconv.Atoi(rec.Header().Get(HeaderRetryAfterMs))
