--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -15,37 +15,37 @@
 )
 
 const (
-	// maxEventBytes bounds one event of an engine's stream.
+	// maxEventBytes is the maximum size of one event of an engine's stream.
 	maxEventBytes = 1 << 20
 
-	// dialTimeout bounds the opening of a connection to an engine.
+	// dialTimeout bounds connecting to an engine.
 	dialTimeout = time.Second
 
-	// HeaderRequestID carries the request's id to engines and backend servers.
+	// HeaderRequestID is the header with the request id for engines and backend servers.
 	HeaderRequestID = "X-Request-Id"
 )
 
 var (
-	// ErrFull says that the engine refused: the request did not run there.
+	// ErrFull means that the engine refused the request, which did not run there.
 	ErrFull = errors.New("engine: refused as full or leaving")
 
-	// ErrNotSent says that the engine could not be connected to: the request
-	// did not run there.
+	// ErrNotSent means that connecting to the engine failed and the request did
+	// not run there.
 	ErrNotSent = errors.New("engine: not reachable")
 
-	// ErrRejected says that the engine found the request itself at fault.
+	// ErrRejected means that the engine rejected the request as invalid.
 	ErrRejected = errors.New("engine: request rejected")
 
-	// ErrBroken says that the engine failed after the request was sent: it may
-	// have run, in part or whole.
+	// ErrBroken means that the engine failed after the request was sent. It may
+	// have run partly or completely.
 	ErrBroken = errors.New("engine: broke off")
 
-	// ErrMalformed says that the engine sent an event that is not one.
+	// ErrMalformed means that the engine sent an invalid event.
 	ErrMalformed = errors.New("engine: malformed event")
 )
 
 type (
-	// Client runs requests on engines and backend servers.
+	// Client sends requests to engines and backend servers.
 	Client struct {
 		http  *http.Client
 		stall time.Duration
@@ -53,43 +53,43 @@
 
 	// Event is one event of a stream.
 	Event struct {
-		Data    []byte // Data is the event's JSON; it is valid until the next event.
-		Content string // Content is the text that the event adds.
-		Done    bool   // Done says that the stream is whole.
-		Finish  string // Finish is why the answer ended; empty before its last part.
+		Data    []byte // Data is the event's JSON, valid until the next event.
+		Content string // Content is the text added by the event.
+		Done    bool   // Done marks the end of a complete stream.
+		Finish  string // Finish is the finish reason; empty before the last part.
 		Usage   *Usage // Usage is set on the event that carries it.
 	}
 
-	// Usage counts tokens as the engine does.
+	// Usage is the token usage reported by the engine.
 	Usage struct {
 		PromptTokens     int `json:"prompt_tokens"`
 		CompletionTokens int `json:"completion_tokens"`
 		TotalTokens      int `json:"total_tokens"`
 	}
 
-	// Stream is the answer of an engine, event by event.
+	// Stream reads the events of an engine's streaming response.
 	Stream struct {
 		body   io.ReadCloser
 		lines  *bufio.Reader
 		cancel context.CancelFunc
-		watch  *stallWatch
+		watch  *stallTimer
 	}
 
-	// RejectedError is the engine's own answer to a request at fault.
+	// RejectedError is the engine's response to an invalid request.
 	RejectedError struct {
 		Status int
 		Body   []byte
 	}
 
-	// stallWatch ends a context when nothing comes for too long.
-	stallWatch struct {
+	// stallTimer cancels a request when no data arrives for too long.
+	stallTimer struct {
 		timer   *time.Timer
 		after   time.Duration
 		stalled atomic.Bool
 	}
 )
 
-// Error describes the rejection.
+// Error implements error.
 func (e *RejectedError) Error() string {
 	return fmt.Sprintf("engine: rejected with status %d", e.Status)
 }
@@ -97,8 +97,8 @@
 // Is makes errors.Is(err, ErrRejected) true.
 func (e *RejectedError) Is(target error) bool { return target == ErrRejected }
 
-// NewClient returns a client that gives a request up when its engine sends
-// nothing for as long as stall.
+// NewClient returns a client that cancels a request when its engine sends no data
+// for the duration stall.
 func NewClient(stall time.Duration) *Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &Client{
@@ -112,12 +112,12 @@
 	}
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// newStallWatch calls cancel when nothing comes for as long as after.
-func newStallWatch(after time.Duration, cancel context.CancelFunc) *stallWatch {
-	w := &stallWatch{after: after}
+// newStallTimer returns a timer that calls cancel when no data arrives in time.
+func newStallTimer(after time.Duration, cancel context.CancelFunc) *stallTimer {
+	w := &stallTimer{after: after}
 	w.timer = time.AfterFunc(after, func() {
 		w.stalled.Store(true)
 		cancel()
@@ -125,11 +125,11 @@
 	return w
 }
 
-// Start sends a chat completion to an engine and returns its stream. Errors
-// are ErrFull, ErrNotSent, ErrRejected or ErrBroken.
+// Start sends a chat completion to an engine and returns its stream. Errors wrap
+// ErrFull, ErrNotSent, ErrRejected or ErrBroken.
 func (c *Client) Start(ctx context.Context, address string, header http.Header, body []byte) (*Stream, error) {
 	ctx, cancel := context.WithCancel(ctx)
-	watch := newStallWatch(c.stall, cancel)
+	watch := newStallTimer(c.stall, cancel)
 	resp, err := c.send(ctx, http.MethodPost, "http://"+address+"/v1/chat/completions", header, body)
 	if err != nil {
 		watch.timer.Stop()
@@ -139,17 +139,17 @@
 	if resp.StatusCode != http.StatusOK {
 		defer cancel()
 		defer watch.timer.Stop()
-		return nil, refusal(resp)
+		return nil, statusError(resp)
 	}
 	return &Stream{body: resp.Body, lines: bufio.NewReaderSize(resp.Body, 8<<10), cancel: cancel, watch: watch}, nil
 }
 
-// Do sends a plain call to a backend server and returns its answer, whose body
-// the caller closes. Errors are ErrFull, ErrNotSent or ErrBroken; each other
-// status is the backend server's own answer.
+// Do sends a call to a backend server and returns its response, whose body the
+// caller closes. Errors wrap ErrFull, ErrNotSent or ErrBroken; other statuses are
+// returned as the backend server's response.
 func (c *Client) Do(ctx context.Context, method, url string, header http.Header, body []byte) (*http.Response, error) {
 	ctx, cancel := context.WithCancel(ctx)
-	watch := newStallWatch(c.stall, cancel)
+	watch := newStallTimer(c.stall, cancel)
 	resp, err := c.send(ctx, method, url, header, body)
 	if err != nil {
 		watch.timer.Stop()
@@ -159,35 +159,35 @@
 	if resp.StatusCode == http.StatusTooManyRequests || resp.StatusCode == http.StatusServiceUnavailable {
 		defer cancel()
 		defer watch.timer.Stop()
-		return nil, refusal(resp)
+		return nil, statusError(resp)
 	}
 	resp.Body = &watchedBody{ReadCloser: resp.Body, watch: watch, cancel: cancel}
 	return resp, nil
 }
 
-// watchedBody is a body that is given up when nothing comes for too long.
+// watchedBody is a body whose request is cancelled when no data arrives for too long.
 type watchedBody struct {
 	io.ReadCloser
-	watch  *stallWatch
+	watch  *stallTimer
 	cancel context.CancelFunc
 }
 
-// Read reads, and gives the server time anew.
+// Read reads from the body and resets the stall timer.
 func (b *watchedBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	b.watch.timer.Reset(b.watch.after)
 	return n, err
 }
 
-// Close ends the call.
+// Close closes the body and cancels the request.
 func (b *watchedBody) Close() error {
 	b.watch.timer.Stop()
 	defer b.cancel()
 	return b.ReadCloser.Close()
 }
 
-// send sends one HTTP request. The transport repeats a request by itself where
-// it has no body or can have the body again; this body gives it no such chance.
+// send sends one HTTP request. The body is wrapped so that it can't be rewound, since
+// the transport retries requests without a body or with a rewindable one.
 func (c *Client) send(ctx context.Context, method, url string, header http.Header, body []byte) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, method, url, io.NopCloser(bytes.NewReader(body)))
 	if err != nil {
@@ -206,8 +206,8 @@
 	return nil, fmt.Errorf("%w: %w", ErrBroken, err)
 }
 
-// refusal turns an answer other than 200 into an error and closes it.
-func refusal(resp *http.Response) error {
+// statusError turns an error response into an error and closes its body.
+func statusError(resp *http.Response) error {
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxEventBytes))
 	switch {
@@ -219,13 +219,13 @@
 	return fmt.Errorf("status %d: %w", resp.StatusCode, ErrBroken)
 }
 
-// Next returns the next event. After the event with Done set there is none. An
-// error means that the stream is not whole.
+// Next returns the next event. The event with Done set is the last. An error means
+// that the stream is incomplete.
 func (s *Stream) Next() (Event, error) {
 	for {
 		line, err := s.lines.ReadSlice('\n')
 		if errors.Is(err, bufio.ErrBufferFull) {
-			line, err = s.longLine(line)
+			line, err = s.readLongLine(line)
 		}
 		if err != nil {
 			return Event{}, fmt.Errorf("read stream: %w: %w", ErrBroken, err)
@@ -235,12 +235,12 @@
 		if len(line) == 0 || line[0] == ':' {
 			continue
 		}
-		return parse(line)
+		return parseEvent(line)
 	}
 }
 
-// Buffered reports whether a part of another event has come already; the empty
-// line that ends the last event does not count.
+// Buffered reports whether part of another event is buffered. The empty line that
+// ends the last event does not count.
 func (s *Stream) Buffered() bool {
 	rest, err := s.lines.Peek(s.lines.Buffered())
 	if err != nil {
@@ -249,8 +249,8 @@
 	return len(bytes.TrimLeft(rest, "\r\n")) > 0
 }
 
-// longLine reads the rest of a line that is longer than the buffer.
-func (s *Stream) longLine(start []byte) ([]byte, error) {
+// readLongLine reads the rest of a line that exceeds the buffer.
+func (s *Stream) readLongLine(start []byte) ([]byte, error) {
 	line := bytes.Clone(start)
 	for {
 		part, err := s.lines.ReadSlice('\n')
@@ -264,8 +264,8 @@
 	}
 }
 
-// parse reads one line of a stream.
-func parse(line []byte) (Event, error) {
+// parseEvent parses one line of a stream.
+func parseEvent(line []byte) (Event, error) {
 	data, ok := bytes.CutPrefix(line, []byte("data:"))
 	if !ok {
 		return Event{}, fmt.Errorf("line without data: %w", ErrMalformed)
@@ -298,7 +298,7 @@
 	return e, nil
 }
 
-// Close ends the stream; an engine that is still working is cancelled.
+// Close closes the stream and cancels an unfinished request.
 func (s *Stream) Close() {
 	s.watch.timer.Stop()
 	s.cancel()
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -15,7 +15,7 @@
 
 const stall = 5 * time.Second
 
-// start starts a completion at a server that a handler stands for.
+// start starts a completion on a test server with the given handler.
 func start(t *testing.T, h http.HandlerFunc) (*engine.Stream, error) {
 	t.Helper()
 	srv := httptest.NewServer(h)
@@ -29,9 +29,9 @@
 	return s, err
 }
 
-// TestLastEventIsNotBuffered holds that the empty line behind an event does not
-// pass for another event: it did once, and no token was flushed to the caller
-// before the stream ended.
+// TestLastEventIsNotBuffered checks that the empty line after an event does not
+// count as another event. When it did, no token was flushed to the caller before
+// the stream ended.
 func TestLastEventIsNotBuffered(t *testing.T) {
 	s, err := start(t, func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprint(w, "data: {\"choices\":[{\"delta\":{\"content\":\"a\"}}]}\n\n")
@@ -85,8 +85,8 @@
 	}
 }
 
-// TestEmptyBodyIsSentOnce holds that the transport does not repeat a call by
-// itself when the connection breaks, not even one without a body.
+// TestEmptyBodyIsSentOnce checks that the transport does not retry a call by itself
+// when the connection breaks, even one without a body.
 func TestEmptyBodyIsSentOnce(t *testing.T) {
 	calls := make(chan struct{}, 10)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -98,7 +98,7 @@
 	defer srv.Close()
 	c := engine.NewClient(stall)
 	defer c.Close()
-	for range 2 { // The second call goes out on a connection that was used before.
+	for range 2 { // The second call reuses the connection.
 		resp, err := c.Do(context.Background(), http.MethodGet, srv.URL, http.Header{"Idempotency-Key": {"k"}}, nil)
 		if err == nil {
 			resp.Body.Close()
--- a/internal/engine/load.go
+++ b/internal/engine/load.go
@@ -1,6 +1,6 @@
-// Package engine meets model engines and backend servers: it reads their load
-// reports, runs requests on them and gives them fenced orders. It is the only
-// package that knows their protocol.
+// Package engine is the client for model engines and backend servers: it polls
+// their load reports, sends requests and sends orders with fencing tokens. It is
+// the only package that implements their protocol.
 package engine
 
 import (
@@ -16,25 +16,25 @@
 )
 
 const (
-	// loadEvery is how often each watched engine's report is read.
-	loadEvery = 500 * time.Millisecond
+	// loadInterval is the interval between polls of an engine's load report.
+	loadInterval = 500 * time.Millisecond
 
-	// loadTimeout bounds one reading.
+	// loadTimeout bounds one poll.
 	loadTimeout = time.Second
 
-	// maxLoadBytes bounds a report.
+	// maxLoadBytes is the maximum size of a report.
 	maxLoadBytes = 1 << 16
 )
 
 type (
-	// Load is what an engine reports of itself; it lags behind.
+	// Load is the load that an engine last reported; it may be outdated.
 	Load struct {
 		Running int  `json:"running"`
 		Waiting int  `json:"waiting"`
 		Leaving bool `json:"leaving"`
 	}
 
-	// Watcher reads the load reports of some engines.
+	// Watcher polls the load reports of a set of engines.
 	Watcher struct {
 		http *http.Client
 
@@ -44,7 +44,7 @@
 	}
 )
 
-// NewWatcher returns a watcher of no engines.
+// NewWatcher returns a Watcher without engines.
 func NewWatcher() *Watcher {
 	return &Watcher{
 		http:  &http.Client{Timeout: loadTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 1}},
@@ -52,7 +52,7 @@
 	}
 }
 
-// Watch sets the engines whose reports are read.
+// Watch sets the engines to poll.
 func (w *Watcher) Watch(engines []*config.Engine) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -66,22 +66,22 @@
 	w.loads = kept
 }
 
-// Load returns an engine's last report, or zero where there is none.
+// Load returns an engine's last report, or zero if there is none.
 func (w *Watcher) Load(engine string) Load {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.loads[engine]
 }
 
-// Leaving reports whether an engine says that it is leaving.
+// Leaving reports whether an engine's last report says that it is leaving.
 func (w *Watcher) Leaving(engine string) bool { return w.Load(engine).Leaving }
 
-// Run reads reports until the context ends, and waits for readings in flight.
+// Run polls until the context ends, then waits for polls in flight.
 func (w *Watcher) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer w.http.CloseIdleConnections()
 	defer wg.Wait()
-	tick := time.NewTicker(loadEvery)
+	tick := time.NewTicker(loadInterval)
 	defer tick.Stop()
 	for {
 		w.mu.Lock()
@@ -91,7 +91,7 @@
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				w.read(ctx, e)
+				w.poll(ctx, e)
 			}()
 		}
 		select {
@@ -102,8 +102,8 @@
 	}
 }
 
-// read takes one engine's report; one that can't be read changes nothing.
-func (w *Watcher) read(ctx context.Context, e *config.Engine) {
+// poll reads one engine's report; on error the last report is kept.
+func (w *Watcher) poll(ctx context.Context, e *config.Engine) {
 	load, err := w.fetch(ctx, e.Address)
 	if err != nil {
 		return
@@ -113,7 +113,7 @@
 	w.loads[e.Name] = load
 }
 
-// fetch gets the report at an address.
+// fetch requests the report from an address.
 func (w *Watcher) fetch(ctx context.Context, address string) (Load, error) {
 	var load Load
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/load", nil)
--- a/internal/engine/order.go
+++ b/internal/engine/order.go
@@ -12,8 +12,8 @@
 	"github.com/croftturn/croftturn/internal/order"
 )
 
-// Order sends a fenced order to an engine, unless the deadline has passed. The
-// error is an *order.OldFenceError where the engine knows a newer fence.
+// Order sends an order with a fencing token to an engine, unless the deadline has
+// passed. It returns an *order.OldFenceError if the engine has seen a newer token.
 func (c *Client) Order(ctx context.Context, address string, fence int, text string, deadline time.Time) error {
 	body, err := json.Marshal(struct {
 		Fence int    `json:"fence"`
