--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,5 @@
-// Package node puts one croftturn process together: it starts all parts in one
-// visible order and stops them in the reverse order.
+// Package node assembles one croftturn process: it starts the components in a fixed
+// order and stops them in reverse order.
 package node
 
 import (
@@ -30,7 +30,7 @@
 	"github.com/croftturn/croftturn/internal/wire"
 )
 
-// adminTimeout bounds the header of a request to the administration API.
+// adminTimeout bounds reading the header of an administration API request.
 const adminTimeout = 10 * time.Second
 
 // Node is one running process.
@@ -65,7 +65,7 @@
 	wg       sync.WaitGroup
 }
 
-// Start starts a node; logs go to out. Close stops it.
+// Start starts a node that logs to out. Close stops it.
 func Start(ctx context.Context, s *settings.Settings, out io.Writer) (*Node, error) {
 	tele, err := telemetry.New(ctx, s, out)
 	if err != nil {
@@ -77,8 +77,8 @@
 		return nil, errors.Join(err, tele.Close())
 	}
 	ctx, n.cancel = context.WithCancel(ctx)
-	n.build(clock.Now(), listeners[0])
-	if err := n.observe(); err != nil {
+	n.assemble(clock.Now(), listeners[0])
+	if err := n.registerGauges(); err != nil {
 		return nil, errors.Join(err, tele.Close())
 	}
 	n.run(ctx, listeners[1], listeners[2])
@@ -87,7 +87,7 @@
 	return n, nil
 }
 
-// listen opens all listeners, or none.
+// listen opens a listener on each address, or none on error.
 func listen(addresses ...string) ([]net.Listener, error) {
 	var out []net.Listener
 	for _, a := range addresses {
@@ -103,8 +103,8 @@
 	return out, nil
 }
 
-// build makes all parts; nothing runs yet.
-func (n *Node) build(now time.Time, peers net.Listener) {
+// assemble creates the components without starting them.
+func (n *Node) assemble(now time.Time, peers net.Listener) {
 	s, log := n.settings, n.tele.Log
 	n.platform = kv.New(s.PlatformAddresses, ms(s.PlatformTimeoutMs))
 	n.traffic = &peer.Traffic{}
@@ -126,7 +126,7 @@
 	n.engines = engine.NewClient(ms(s.EngineStallMs))
 	n.orders = order.New(n.store, n.platform, n.engines, n.brokers, s.Instance, log)
 	n.claims = claim.NewKeeper(n.platform, s.Instance, self.Incarnation, ms(s.ClaimGatherMs), claim.WithForwarder(n))
-	n.sweeper = claim.NewSweeper(n.platform, time.Duration(s.ClaimKeepHours)*time.Hour, n.sweeps, log)
+	n.sweeper = claim.NewSweeper(n.platform, time.Duration(s.ClaimKeepHours)*time.Hour, n.isClaimSweeper, log)
 	n.front = front.New(n.store, n.table, n.client, n.engines, n.journal, n.tele,
 		front.WithScheduler(config.PoolSchedulerBroker, n.brokered),
 		front.WithScheduler(config.PoolSchedulerDirect, n.direct),
@@ -138,11 +138,11 @@
 		admin.WithBootstrap(s.BootstrapTokenSha256), admin.WithAccepted(n.members.Kick),
 		admin.WithReady(n.Ready), admin.WithMetrics(n.tele.Metrics),
 	)
-	n.handlePeers()
+	n.registerPeerMethods()
 }
 
-// handlePeers sets which methods peers may call.
-func (n *Node) handlePeers() {
+// registerPeerMethods registers the RPC methods that peers may call.
+func (n *Node) registerPeerMethods() {
 	n.server.Handle(member.MethodHeartbeat, peer.Typed(n.members.Answer))
 	n.server.Handle(broker.MethodAcquire, peer.Typed(n.brokers.Acquire))
 	n.server.Handle(broker.MethodRelease, peer.Typed(n.brokers.Release))
@@ -160,11 +160,11 @@
 	}))
 }
 
-// run starts the goroutines and the servers.
+// run starts the background goroutines and the servers.
 func (n *Node) run(ctx context.Context, callers, control net.Listener) {
 	s := n.settings
 	n.callers = &http.Server{
-		Handler: n.closing(n.front), MaxHeaderBytes: s.MaxHeaderBytes, ReadTimeout: ms(s.ReadTimeoutMs), ReadHeaderTimeout: ms(s.ReadTimeoutMs),
+		Handler: n.closeWhenStopping(n.front), MaxHeaderBytes: s.MaxHeaderBytes, ReadTimeout: ms(s.ReadTimeoutMs), ReadHeaderTimeout: ms(s.ReadTimeoutMs),
 		IdleTimeout: time.Minute,
 	}
 	n.control = &http.Server{Handler: n.admin, ReadHeaderTimeout: adminTimeout}
@@ -181,7 +181,7 @@
 	n.start(func() { n.serve(n.control, control) })
 }
 
-// start runs a function on its own goroutine, for which Close waits.
+// start runs f on a goroutine that Close waits for.
 func (n *Node) start(f func()) {
 	n.wg.Add(1)
 	go func() {
@@ -197,7 +197,7 @@
 	}
 }
 
-// Ready returns why the node can't serve callers, or nil.
+// Ready returns nil if the node can serve callers, else the reason.
 func (n *Node) Ready() error {
 	if n.store.View() == nil {
 		return errors.New("no configuration yet")
@@ -210,11 +210,11 @@
 	}
 }
 
-// closing wraps a handler so that each answer of a node which stops ends its connection.
-// Connections that are idle are left open until callers have heard of the stop: a request
-// that crosses the close of its connection fails, and its caller can't know that it has not
-// run. That met 1 of 64 requests of a rolling restart.
-func (n *Node) closing(next http.Handler) http.Handler {
+// closeWhenStopping wraps a handler so that responses of a stopping node close their
+// connection. Idle connections stay open until callers know of the stop: a request sent while
+// its connection is being closed fails, and its caller can't know that it has not run. That
+// happened to 1 of 64 requests of a rolling restart.
+func (n *Node) closeWhenStopping(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case <-n.stopping:
@@ -225,13 +225,13 @@
 	})
 }
 
-// Close stops the node as planned: peers and entry points stop naming it, then
-// it takes no new requests, those in flight finish within the drain time, and
-// the rest stops. It returns an error where requests were cut off.
+// Close stops the node gracefully. Peers and entry points stop advertising it, then it
+// accepts no new requests, those in flight finish within the drain time, and the other
+// components stop. It returns an error if requests were cut off.
 func (n *Node) Close() error {
 	s := n.settings
 	close(n.stopping)
-	n.tele.Log.Info("node leaves", "notice_ms", s.LeaveNoticeMs, "drain_ms", s.DrainMs)
+	n.tele.Log.Info("node is leaving", "notice_ms", s.LeaveNoticeMs, "drain_ms", s.DrainMs)
 	n.table.Leave(clock.Now())
 	time.Sleep(ms(s.LeaveNoticeMs))
 	ctx, cancel := context.WithTimeout(context.Background(), ms(s.DrainMs))
@@ -253,5 +253,5 @@
 	return errors.Join(err, serverErr, n.tele.Close())
 }
 
-// ms turns milliseconds of the settings into a duration.
+// ms converts milliseconds to a duration.
 func ms(n int) time.Duration { return time.Duration(n) * time.Millisecond }
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -14,23 +14,23 @@
 )
 
 const (
-	// methodChanges is the peers' method that takes a ChangesRequest.
+	// methodChanges is the RPC method that takes a ChangesRequest.
 	methodChanges = "changes"
 
-	// askedPeers is how many peers are asked for a newer configuration.
-	askedPeers = 3
+	// maxPeersAsked is the maximum number of peers asked for a newer configuration.
+	maxPeersAsked = 3
 
-	// askTimeout bounds one such question.
+	// askTimeout bounds one such RPC.
 	askTimeout = time.Second
 )
 
-// seeds lists the addresses of peers to ask while no member is known: those of
-// the settings and those of the platform's list, which lags behind.
+// seeds returns the peer addresses to contact while no member is known: those of the
+// settings and those of the platform's instance list, which may be outdated.
 func (n *Node) seeds(ctx context.Context) []string {
 	out := append([]string(nil), n.settings.SeedPeers...)
 	list, err := n.platform.Instances(ctx)
 	if err != nil {
-		n.tele.Log.Debug("instances not listed", "error", err.Error())
+		n.tele.Log.Debug("failed to list instances", "error", err.Error())
 		return out
 	}
 	for _, i := range list {
@@ -41,8 +41,8 @@
 	return out
 }
 
-// Changes asks a few peers for configuration changes after a version. It fails
-// where peers are known and none answers.
+// Changes asks a few random peers for the configuration changes after a version. It
+// fails if none answers.
 func (n *Node) Changes(ctx context.Context, after int) ([]*wire.ChangesReply, error) {
 	self := n.table.Self().Name
 	var others []wire.Member
@@ -53,10 +53,10 @@
 	}
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
 	var out []*wire.ChangesReply
-	for _, m := range others[:min(len(others), askedPeers)] {
+	for _, m := range others[:min(len(others), maxPeersAsked)] {
 		reply, err := n.askChanges(ctx, m, after)
 		if err != nil {
-			n.tele.Log.Debug("peer not asked for changes", "peer", m.Name, "error", err.Error())
+			n.tele.Log.Debug("failed to ask a peer for changes", "peer", m.Name, "error", err.Error())
 			continue
 		}
 		out = append(out, reply)
@@ -67,7 +67,7 @@
 	return out, nil
 }
 
-// askChanges asks one peer.
+// askChanges asks one peer for changes.
 func (n *Node) askChanges(ctx context.Context, m wire.Member, after int) (*wire.ChangesReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
@@ -76,20 +76,20 @@
 	return reply, err
 }
 
-// gatherer returns the node that gathers this node's claims.
-func (n *Node) gatherer() (wire.Member, bool) {
+// claimGatherer returns the node that batches this node's claims.
+func (n *Node) claimGatherer() (wire.Member, bool) {
 	return n.table.Owner(claim.GatherKey(n.settings.Instance, n.table.Len()))
 }
 
-// Elsewhere reports whether another node gathers this node's claims.
+// Elsewhere reports whether another node batches this node's claims.
 func (n *Node) Elsewhere() bool {
-	owner, ok := n.gatherer()
+	owner, ok := n.claimGatherer()
 	return ok && owner.Name != n.settings.Instance
 }
 
-// Forward hands claims to the node that gathers them.
+// Forward sends claims to the node that batches them.
 func (n *Node) Forward(ctx context.Context, batch *wire.ClaimBatch) (*wire.ClaimReply, error) {
-	owner, ok := n.gatherer()
+	owner, ok := n.claimGatherer()
 	if !ok {
 		return nil, trace.NotFound("no node gathers claims")
 	}
@@ -98,14 +98,14 @@
 	return reply, err
 }
 
-// sweeps reports whether this node is the one that removes old claims.
-func (n *Node) sweeps() bool {
+// isClaimSweeper reports whether this node removes old claims.
+func (n *Node) isClaimSweeper() bool {
 	owner, ok := n.table.Owner(claim.SweepKey)
 	return ok && owner.Name == n.settings.Instance
 }
 
-// Watch sets the engines whose load is read: those of the pools that this node
-// is the broker of, and those of pools on which it decides alone.
+// Watch sets the engines whose load is polled: the given ones, of pools that this node
+// is the broker of, and those of pools with the direct scheduler.
 func (n *Node) Watch(engines []*config.Engine) {
 	view := n.store.View()
 	for i := range view.Config.Pools {
@@ -117,10 +117,10 @@
 	n.watcher.Watch(engines)
 }
 
-// Leaving reports whether an engine says that it is leaving.
+// Leaving reports whether an engine's last load report says that it is leaving.
 func (n *Node) Leaving(engine string) bool { return n.watcher.Leaving(engine) }
 
-// Rows returns this node's rows of a table.
+// Rows returns this node's rows of a query's table.
 func (n *Node) Rows(now time.Time, q *wire.QueryRequest) []wire.Row {
 	switch q.Table {
 	case "engines":
@@ -137,7 +137,7 @@
 	return nil
 }
 
-// memberRows returns the members as this node sees them.
+// memberRows returns this node's view of the members.
 func (n *Node) memberRows() []wire.Row {
 	names := map[wire.MemberState]string{
 		wire.MemberStateA: "alive", wire.MemberStateL: "leaving", wire.MemberStateS: "suspect", wire.MemberStateD: "dead",
@@ -149,8 +149,8 @@
 	return out
 }
 
-// observe adds the numbers that are read at each scrape.
-func (n *Node) observe() error {
+// registerGauges registers the gauges that are read at each scrape.
+func (n *Node) registerGauges() error {
 	return n.tele.RegisterGauges(
 		telemetry.Gauge{Name: "croftturn.control.bytes.out", Help: "Control bytes sent to peers.", Read: n.traffic.BytesOut.Load},
 		telemetry.Gauge{Name: "croftturn.control.bytes.in", Help: "Control bytes received from peers.", Read: n.traffic.BytesIn.Load},
@@ -160,9 +160,9 @@
 		telemetry.Gauge{Name: "croftturn.config.version", Help: "Configuration version in force.", Read: func() int64 { return int64(n.store.Version()) }},
 		telemetry.Gauge{Name: "croftturn.requests.live", Help: "Requests that have not ended.", Read: func() int64 { return int64(n.journal.Live()) }},
 		telemetry.Gauge{Name: "croftturn.cpu.microseconds", Help: "Processor time used by this process.", Read: cpuMicros},
-		telemetry.Gauge{Name: "croftturn.heap.live.bytes", Help: "Heap that the last collection found in use.", Read: func() int64 { return memory("/gc/heap/live:bytes") }},
+		telemetry.Gauge{Name: "croftturn.heap.live.bytes", Help: "Heap that the last collection found in use.", Read: func() int64 { return runtimeMetric("/gc/heap/live:bytes") }},
 		telemetry.Gauge{Name: "croftturn.memory.bytes", Help: "Memory that the process has from the system.", Read: func() int64 {
-			return memory("/memory/classes/total:bytes") - memory("/memory/classes/heap/released:bytes")
+			return runtimeMetric("/memory/classes/total:bytes") - runtimeMetric("/memory/classes/heap/released:bytes")
 		}},
 	)
 }
--- a/internal/node/usage.go
+++ b/internal/node/usage.go
@@ -5,8 +5,8 @@
 	"syscall"
 )
 
-// cpuMicros returns the processor time that this process has used, user and
-// system together, in microseconds.
+// cpuMicros returns the process's user and system CPU time in microseconds, or 0 on
+// error.
 func cpuMicros() int64 {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -16,8 +16,8 @@
 	return (u.Utime.Sec+u.Stime.Sec)*second + u.Utime.Usec + u.Stime.Usec
 }
 
-// memory returns one of the runtime's own metrics, in bytes.
-func memory(name string) int64 {
+// runtimeMetric returns a metric of the Go runtime, in bytes, or 0 if it does not exist.
+func runtimeMetric(name string) int64 {
 	sample := []metrics.Sample{{Name: name}}
 	metrics.Read(sample)
 	if sample[0].Value.Kind() != metrics.KindUint64 {
