--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -45,13 +45,13 @@
 		Live() []wire.Member
 	}
 
-	// Caller calls other nodes.
-	Caller interface {
+	// PeerCaller calls other nodes.
+	PeerCaller interface {
 		Call(ctx context.Context, address, method string, params, result any) error
 	}
 
-	// Tables answers for this node.
-	Tables interface {
+	// RowSource answers for this node.
+	RowSource interface {
 		Rows(now time.Time, q *wire.QueryRequest) []wire.Row
 	}
 
@@ -68,8 +68,8 @@
 		store     *config.Store
 		keeper    *config.Keeper
 		members   Members
-		peers     Caller
-		tables    Tables
+		peers     PeerCaller
+		tables    RowSource
 		bootstrap string
 		accepted  func()
 		ready     func() error
@@ -97,7 +97,7 @@
 func WithMetrics(h http.Handler) Option { return func(a *Admin) { a.mux.Handle("GET /metrics", h) } }
 
 // New returns the administration API of a node.
-func New(store *config.Store, keeper *config.Keeper, members Members, peers Caller, tables Tables, log *slog.Logger, opts ...Option) *Admin {
+func New(store *config.Store, keeper *config.Keeper, members Members, peers PeerCaller, tables RowSource, log *slog.Logger, opts ...Option) *Admin {
 	a := &Admin{
 		store: store, keeper: keeper, members: members, peers: peers, tables: tables, log: log, mux: http.NewServeMux(),
 		accepted: func() {}, ready: func() error { return nil },
@@ -210,7 +210,7 @@
 	case s.Query != nil:
 		return a.query(ctx, s.Query)
 	case s.Explain != nil:
-		rows, missing := a.ask(ctx, &wire.QueryRequest{Table: "request", Request: s.Explain.Request})
+		rows, missing := a.queryNodes(ctx, &wire.QueryRequest{Table: "request", Request: s.Explain.Request})
 		if len(rows) == 0 && len(missing) == 0 {
 			return nil, trace.NotFound("no node remembers request %s", s.Explain.Request)
 		}
--- a/internal/admin/run.go
+++ b/internal/admin/run.go
@@ -17,8 +17,8 @@
 	"github.com/croftturn/croftturn/internal/wire"
 )
 
-// historyMost bounds how many changes one answer holds.
-const historyMost = 1000
+// maxHistory bounds how many changes one answer holds.
+const maxHistory = 1000
 
 // query asks all nodes and filters and groups their rows.
 func (a *Admin) query(ctx context.Context, q *lang.Query) (*Result, error) {
@@ -32,7 +32,7 @@
 	if q.Table == "members" {
 		rows = a.tables.Rows(clock.Now(), req)
 	} else {
-		rows, missing = a.ask(ctx, req)
+		rows, missing = a.queryNodes(ctx, req)
 	}
 	kept := rows[:0]
 	for _, r := range rows {
@@ -52,8 +52,8 @@
 	return &Result{Rows: kept, Missing: missing}, nil
 }
 
-// ask asks all live nodes for rows, and names those that did not answer.
-func (a *Admin) ask(ctx context.Context, req *wire.QueryRequest) (rows []wire.Row, missing []string) {
+// queryNodes asks all live nodes for rows, and names those that did not answer.
+func (a *Admin) queryNodes(ctx context.Context, req *wire.QueryRequest) (rows []wire.Row, missing []string) {
 	ctx, cancel := context.WithTimeout(ctx, fanOutTimeout)
 	defer cancel()
 	var mu sync.Mutex
@@ -166,7 +166,7 @@
 		}
 		after = n
 	}
-	changes, err := a.keeper.History(ctx, after, historyMost)
+	changes, err := a.keeper.History(ctx, after, maxHistory)
 	if err != nil {
 		return nil, fmt.Errorf("read history: %w", err)
 	}
@@ -190,35 +190,35 @@
 	case s.Order != nil:
 		return config.SetOrder(s.Order.Engine, unquote(s.Order.Text)), nil
 	case s.Set != nil:
-		return config.SetFields(wire.EntityKind(s.Set.Kind), s.Set.Name, fields(s.Set.Fields)), nil
+		return config.SetFields(wire.EntityKind(s.Set.Kind), s.Set.Name, configFields(s.Set.Fields)), nil
 	}
 	return nil, trace.BadParameter("the statement changes nothing")
 }
 
-// fields turns assignments into fields: numbers and truth values stand for
+// configFields turns assignments into configFields: numbers and truth values stand for
 // themselves, all else is text, and a text with commas for a list is quoted JSON.
-func fields(list []lang.Assignment) []config.Field {
+func configFields(list []lang.Assignment) []config.Field {
 	out := make([]config.Field, 0, len(list))
 	for _, a := range list {
-		out = append(out, config.Field{Name: a.Field, Value: value(a.Value)})
+		out = append(out, config.Field{Name: a.Field, Value: jsonValue(a.Value)})
 	}
 	return out
 }
 
-// value turns a word or a quoted text into JSON.
-func value(text string) json.RawMessage {
+// jsonValue turns a word or a quoted text into JSON.
+func jsonValue(text string) json.RawMessage {
 	plain := unquote(text)
 	if plain != text && !strings.HasPrefix(plain, "[") {
-		return quoted(plain)
+		return jsonString(plain)
 	}
 	if json.Valid([]byte(plain)) {
 		return json.RawMessage(plain)
 	}
-	return quoted(plain)
+	return jsonString(plain)
 }
 
-// quoted returns a text as a JSON string.
-func quoted(text string) json.RawMessage {
+// jsonString returns a text as a JSON string.
+func jsonString(text string) json.RawMessage {
 	out, err := json.Marshal(text)
 	if err != nil {
 		return json.RawMessage(`""`)
