--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -34,23 +34,23 @@
 	m.first, errs[2] = meter.Float64Histogram("croftturn.edge.first.seconds")
 	m.total, errs[3] = meter.Float64Histogram("croftturn.edge.total.seconds")
 	m.crashed, errs[5] = meter.Int64Counter("croftturn.edge.engines_ended_under_requests")
-	errs[4] = e.tele.Observe(
-		telemetry.Observed{Name: "croftturn.edge.active", Help: "requests being served", Read: func() int64 { return int64(e.dispatcher.Active()) }},
-		telemetry.Observed{Name: "croftturn.edge.engine_connections_opened", Help: "connections opened to engines", Read: func() int64 { return e.egress.Opened() }},
-		telemetry.Observed{Name: "croftturn.edge.log_lines_dropped", Help: "log lines dropped", Read: func() int64 { return e.logWriter.Dropped() }},
-		telemetry.Observed{Name: "croftturn.edge.nodes", Help: "nodes alive", Read: func() int64 { return int64(e.gossip.AliveNodes()) }},
-		telemetry.Observed{Name: "croftturn.edge.config_age_ms", Help: "age of the proof that the configuration is the newest", Read: func() int64 { return e.proof.AgeMs(clock.Now()) }},
-		telemetry.Observed{Name: "croftturn.edge.entries_refused", Help: "changes of engines' entries that could not be understood", Read: func() int64 { return e.discovery.Refused() }},
-		telemetry.Observed{Name: "croftturn.edge.configs_refused", Help: "configurations that could not be understood", Read: func() int64 { return e.configsRefused.Load() }},
-		telemetry.Observed{Name: "croftturn.edge.absences", Help: "times that this process was away, as by a suspended machine", Read: func() int64 { return e.absences.Load() }},
-		telemetry.Observed{Name: "croftturn.edge.requests_held", Help: "requests that get no engine, since engines ended under them", Read: func() int64 { return e.quarantine.Len() }},
-		telemetry.Observed{Name: "croftturn.edge.engines_limited", Help: "engines that have named a limit of requests", Read: func() int64 { return e.limits.Len() }},
-		telemetry.Observed{Name: "croftturn.edge.engines_resting", Help: "engines that asked this node for rest", Read: func() int64 { return int64(e.placement.BackingOff(clock.Now())) }},
-		telemetry.Observed{Name: "croftturn.edge.tables_given", Help: "tables given to peers", Read: func() int64 { return e.follower.Pulls().Given }},
-		telemetry.Observed{Name: "croftturn.edge.tables_taken", Help: "tables taken from peers", Read: func() int64 { return e.follower.Pulls().Taken }},
-		telemetry.Observed{Name: "croftturn.edge.tables_failed", Help: "tables asked of peers in vain", Read: func() int64 { return e.follower.Pulls().Failed }},
-		telemetry.Observed{Name: "croftturn.edge.peer_bytes_out", Help: "bytes sent in calls of peers", Read: func() int64 { return e.traffic.BytesOut.Load() }},
-		telemetry.Observed{Name: "croftturn.edge.peer_bytes_in", Help: "bytes received in calls of peers", Read: func() int64 { return e.traffic.BytesIn.Load() }},
+	errs[4] = e.tele.RegisterGauges(
+		telemetry.Gauge{Name: "croftturn.edge.active", Help: "requests being served", Read: func() int64 { return int64(e.dispatcher.Active()) }},
+		telemetry.Gauge{Name: "croftturn.edge.engine_connections_opened", Help: "connections opened to engines", Read: func() int64 { return e.egress.Opened() }},
+		telemetry.Gauge{Name: "croftturn.edge.log_lines_dropped", Help: "log lines dropped", Read: func() int64 { return e.logWriter.Dropped() }},
+		telemetry.Gauge{Name: "croftturn.edge.nodes", Help: "nodes alive", Read: func() int64 { return int64(e.gossip.AliveNodes()) }},
+		telemetry.Gauge{Name: "croftturn.edge.config_age_ms", Help: "age of the proof that the configuration is the newest", Read: func() int64 { return e.proof.AgeMs(clock.Now()) }},
+		telemetry.Gauge{Name: "croftturn.edge.entries_refused", Help: "changes of engines' entries that could not be understood", Read: func() int64 { return e.discovery.Refused() }},
+		telemetry.Gauge{Name: "croftturn.edge.configs_refused", Help: "configurations that could not be understood", Read: func() int64 { return e.configsRefused.Load() }},
+		telemetry.Gauge{Name: "croftturn.edge.absences", Help: "times that this process was away, as by a suspended machine", Read: func() int64 { return e.absences.Load() }},
+		telemetry.Gauge{Name: "croftturn.edge.requests_held", Help: "requests that get no engine, since engines ended under them", Read: func() int64 { return e.quarantine.Len() }},
+		telemetry.Gauge{Name: "croftturn.edge.engines_limited", Help: "engines that have named a limit of requests", Read: func() int64 { return e.limits.Len() }},
+		telemetry.Gauge{Name: "croftturn.edge.engines_resting", Help: "engines that asked this node for rest", Read: func() int64 { return int64(e.placement.BackingOff(clock.Now())) }},
+		telemetry.Gauge{Name: "croftturn.edge.tables_given", Help: "tables given to peers", Read: func() int64 { return e.follower.Pulls().Given }},
+		telemetry.Gauge{Name: "croftturn.edge.tables_taken", Help: "tables taken from peers", Read: func() int64 { return e.follower.Pulls().Taken }},
+		telemetry.Gauge{Name: "croftturn.edge.tables_failed", Help: "tables asked of peers in vain", Read: func() int64 { return e.follower.Pulls().Failed }},
+		telemetry.Gauge{Name: "croftturn.edge.peer_bytes_out", Help: "bytes sent in calls of peers", Read: func() int64 { return e.traffic.BytesOut.Load() }},
+		telemetry.Gauge{Name: "croftturn.edge.peer_bytes_in", Help: "bytes received in calls of peers", Read: func() int64 { return e.traffic.BytesIn.Load() }},
 	)
 	if err := errors.Join(errs[:]...); err != nil {
 		return nil, fmt.Errorf("create instruments: %w", err)
