--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin serves the administration API: statements of the operators'
-// language, whole configurations, health and metrics.
+// Package admin serves the administration API: statements of the query and command
+// language, configuration uploads, health and metrics.
 package admin
 
 import (
@@ -24,46 +24,46 @@
 )
 
 const (
-	// maxBody bounds a body of the administration API, in bytes.
+	// maxBody is the maximum size of a request body, in bytes.
 	maxBody = 16 << 20
 
-	// fanOutTimeout bounds the question to each other node.
+	// fanOutTimeout bounds a query to all nodes.
 	fanOutTimeout = time.Second
 
-	// writeTimeout bounds how long a change is pursued before its outcome is
-	// said to be unknown.
+	// writeTimeout bounds writing a change. After it the outcome is reported as
+	// unknown.
 	writeTimeout = 10 * time.Second
 
-	// bootstrapName is the author of the first configuration.
+	// bootstrapName is the author of changes made with the bootstrap token.
 	bootstrapName = "bootstrap"
 )
 
 type (
-	// Members tells who the nodes are.
+	// Members lists the cluster's nodes.
 	Members interface {
 		Self() wire.Member
 		Live() []wire.Member
 	}
 
-	// PeerCaller calls other nodes.
+	// PeerCaller sends RPCs to other nodes.
 	PeerCaller interface {
 		Call(ctx context.Context, address, method string, params, result any) error
 	}
 
-	// RowSource answers for this node.
+	// RowSource returns this node's rows of a table.
 	RowSource interface {
 		Rows(now time.Time, q *wire.QueryRequest) []wire.Row
 	}
 
-	// Result answers a statement.
+	// Result is the result of a statement.
 	Result struct {
 		Rows    []wire.Row    `json:"rows,omitempty"`
 		Changes []wire.Change `json:"changes,omitempty"`
-		Change  *wire.Change  `json:"change,omitempty"`  // Change is what was accepted.
-		Missing []string      `json:"missing,omitempty"` // Missing are the instances that did not answer: the rows are partial.
+		Change  *wire.Change  `json:"change,omitempty"`  // Change is the accepted change.
+		Missing []string      `json:"missing,omitempty"` // Missing lists the instances that did not answer; if any, the rows are partial.
 	}
 
-	// Admin serves the administration API.
+	// Admin is the HTTP handler of the administration API.
 	Admin struct {
 		store     *config.Store
 		keeper    *config.Keeper
@@ -77,26 +77,26 @@
 		mux       *http.ServeMux
 	}
 
-	// Option sets a part of an Admin.
+	// Option configures an Admin.
 	Option func(*Admin)
 )
 
-// MethodQuery is the peers' method that takes a QueryRequest.
+// MethodQuery is the RPC method that takes a QueryRequest.
 const MethodQuery = "query"
 
-// WithBootstrap lets a token, given by its hex SHA-256, write the first configuration.
+// WithBootstrap sets the hex SHA-256 of the token that may act until operators are configured.
 func WithBootstrap(hash string) Option { return func(a *Admin) { a.bootstrap = hash } }
 
-// WithAccepted sets what is called after a change was accepted.
+// WithAccepted sets a callback for accepted changes.
 func WithAccepted(f func()) Option { return func(a *Admin) { a.accepted = f } }
 
-// WithReady sets what tells whether the node can serve; nil means it can.
+// WithReady sets the readiness check; a nil error means ready.
 func WithReady(f func() error) Option { return func(a *Admin) { a.ready = f } }
 
 // WithMetrics sets the handler of /metrics.
 func WithMetrics(h http.Handler) Option { return func(a *Admin) { a.mux.Handle("GET /metrics", h) } }
 
-// New returns the administration API of a node.
+// New returns an Admin with its routes registered.
 func New(store *config.Store, keeper *config.Keeper, members Members, peers PeerCaller, tables RowSource, log *slog.Logger, opts ...Option) *Admin {
 	a := &Admin{
 		store: store, keeper: keeper, members: members, peers: peers, tables: tables, log: log, mux: http.NewServeMux(),
@@ -112,10 +112,10 @@
 	return a
 }
 
-// ServeHTTP serves one request of an operator.
+// ServeHTTP implements http.Handler.
 func (a *Admin) ServeHTTP(w http.ResponseWriter, r *http.Request) { a.mux.ServeHTTP(w, r) }
 
-// handleReady tells whether the node can serve callers.
+// handleReady reports whether the node can serve callers.
 func (a *Admin) handleReady(w http.ResponseWriter, _ *http.Request) {
 	if err := a.ready(); err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
@@ -124,7 +124,7 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// handleStatement runs one statement.
+// handleStatement handles one statement.
 func (a *Admin) handleStatement(w http.ResponseWriter, r *http.Request) {
 	author, ok := a.authorize(w, r, config.OperatorRolesElemRead)
 	if !ok {
@@ -156,7 +156,7 @@
 	a.answer(w, http.StatusOK, result)
 }
 
-// handleApply takes a whole configuration.
+// handleApply replaces the whole configuration.
 func (a *Admin) handleApply(w http.ResponseWriter, r *http.Request) {
 	author, ok := a.authorize(w, r, config.OperatorRolesElemChange)
 	if !ok {
@@ -180,8 +180,8 @@
 	a.answer(w, http.StatusOK, result)
 }
 
-// authorize finds the operator and checks the role. A bad token gets 401, a
-// good one without the role 403; neither learns anything else.
+// authorize authenticates the operator and checks the role. An unknown token gets 401,
+// a missing role 403, both without further details.
 func (a *Admin) authorize(w http.ResponseWriter, r *http.Request, role config.OperatorRolesElem) (string, bool) {
 	token := header.Bearer(r.Header)
 	view := a.store.View()
@@ -204,7 +204,7 @@
 	return op.Name, true
 }
 
-// run runs a statement.
+// run executes a statement.
 func (a *Admin) run(ctx context.Context, s *lang.Statement, text, author, id string) (*Result, error) {
 	switch {
 	case s.Query != nil:
@@ -225,7 +225,7 @@
 	return a.write(ctx, id, author, text, edit)
 }
 
-// write makes an accepted change of an edit, and spreads it.
+// write commits an edit as a change and triggers its propagation.
 func (a *Admin) write(ctx context.Context, id, author, text string, edit config.Edit) (*Result, error) {
 	if id == "" {
 		return nil, trace.BadParameter("change_id is missing; it settles what became of a change whose answer was lost")
@@ -241,7 +241,7 @@
 	return &Result{Change: &ch}, nil
 }
 
-// fail answers with an error's status.
+// fail writes an error response with the status for the error.
 func (a *Admin) fail(w http.ResponseWriter, err error) {
 	status := http.StatusInternalServerError
 	switch {
@@ -259,18 +259,18 @@
 	a.answer(w, status, failure(err.Error()))
 }
 
-// failure returns the body of an error.
+// failure returns the body of an error response.
 func failure(message string) any {
 	return struct {
 		Error string `json:"error"`
 	}{message}
 }
 
-// answer writes a document.
+// answer writes a JSON response.
 func (a *Admin) answer(w http.ResponseWriter, status int, doc any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	if err := json.NewEncoder(w).Encode(doc); err != nil {
-		a.log.Debug("answer not delivered", "error", err.Error())
+		a.log.Debug("failed to write the response", "error", err.Error())
 	}
 }
--- a/internal/admin/run.go
+++ b/internal/admin/run.go
@@ -17,10 +17,10 @@
 	"github.com/croftturn/croftturn/internal/wire"
 )
 
-// maxHistory bounds how many changes one answer holds.
+// maxHistory is the maximum number of changes in one response.
 const maxHistory = 1000
 
-// query asks all nodes and filters and groups their rows.
+// query collects the rows of all nodes, then filters and groups them.
 func (a *Admin) query(ctx context.Context, q *lang.Query) (*Result, error) {
 	age, err := q.Age()
 	if err != nil {
@@ -52,7 +52,8 @@
 	return &Result{Rows: kept, Missing: missing}, nil
 }
 
-// queryNodes asks all live nodes for rows, and names those that did not answer.
+// queryNodes collects rows from all live nodes and returns the names of those that did not
+// answer.
 func (a *Admin) queryNodes(ctx context.Context, req *wire.QueryRequest) (rows []wire.Row, missing []string) {
 	ctx, cancel := context.WithTimeout(ctx, fanOutTimeout)
 	defer cancel()
@@ -88,7 +89,7 @@
 	return rows, missing
 }
 
-// field returns a row's field as text.
+// field returns the value of a row's field as text.
 func field(r wire.Row, name string) (string, error) {
 	switch name {
 	case "node":
@@ -113,7 +114,7 @@
 	return "", trace.BadParameter("no field %q; fields are node, name, state, class, tier, team, pool, engine, reason", name)
 }
 
-// matches reports whether a row meets all conditions.
+// matches reports whether a row satisfies all conditions.
 func matches(r wire.Row, where []lang.Condition) (bool, error) {
 	for _, c := range where {
 		got, err := field(r, c.Field)
@@ -148,7 +149,7 @@
 	return out, nil
 }
 
-// unquote takes the quotes off a string.
+// unquote removes the quotes of a quoted string.
 func unquote(text string) string {
 	if plain, err := strconv.Unquote(text); err == nil {
 		return plain
@@ -156,7 +157,7 @@
 	return text
 }
 
-// history returns accepted changes.
+// history returns the accepted changes after a version.
 func (a *Admin) history(ctx context.Context, h *lang.History) (*Result, error) {
 	after := 0
 	if h.After != "" {
@@ -176,7 +177,7 @@
 	return &Result{Changes: changes}, nil
 }
 
-// edit returns the edit of a statement that changes the configuration.
+// edit converts a statement to an edit of the configuration.
 func (a *Admin) edit(ctx context.Context, s *lang.Statement) (config.Edit, error) {
 	switch {
 	case s.State != nil && s.State.Verb == "drain":
@@ -195,8 +196,8 @@
 	return nil, trace.BadParameter("the statement changes nothing")
 }
 
-// configFields turns assignments into configFields: numbers and truth values stand for
-// themselves, all else is text, and a text with commas for a list is quoted JSON.
+// configFields converts assignments to configuration fields. Numbers and booleans keep
+// their type, lists are given as quoted JSON, and other values are text.
 func configFields(list []lang.Assignment) []config.Field {
 	out := make([]config.Field, 0, len(list))
 	for _, a := range list {
@@ -205,7 +206,7 @@
 	return out
 }
 
-// jsonValue turns a word or a quoted text into JSON.
+// jsonValue converts a word or a quoted string to JSON.
 func jsonValue(text string) json.RawMessage {
 	plain := unquote(text)
 	if plain != text && !strings.HasPrefix(plain, "[") {
@@ -217,7 +218,7 @@
 	return jsonString(plain)
 }
 
-// jsonString returns a text as a JSON string.
+// jsonString encodes a text as a JSON string.
 func jsonString(text string) json.RawMessage {
 	out, err := json.Marshal(text)
 	if err != nil {
