--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -1,5 +1,5 @@
-// Package journal keeps what a node knows of its requests: those that run, and
-// the ends of the latest. Queries and explanations are answered from it.
+// Package journal records a node's live requests and the most recently ended ones.
+// Queries and explain statements are answered from it.
 package journal
 
 import (
@@ -10,8 +10,8 @@
 	"github.com/croftturn/croftturn/internal/wire"
 )
 
-// endsKept is how many ended requests a node remembers.
-const endsKept = 4096
+// maxEnded is the number of ended requests that are kept.
+const maxEnded = 4096
 
 // States of a request.
 const (
@@ -24,16 +24,16 @@
 )
 
 type (
-	// Journal records requests. Its methods may be called from many goroutines.
+	// Journal records requests. It is safe for concurrent use.
 	Journal struct {
 		mu    sync.Mutex
 		live  map[string]*Entry
-		ends  []*Entry // ends is a ring of the latest.
+		ended []*Entry // ended is a ring buffer of the latest ended requests.
 		next  int
 		index map[string]*Entry
 	}
 
-	// Entry is what is known of one request.
+	// Entry is the record of one request.
 	Entry struct {
 		ID, Class, Team, Pool string
 		Tier                  int
@@ -44,7 +44,7 @@
 		Steps                 []Step
 	}
 
-	// Step is one thing that was decided about a request.
+	// Step is one decision about a request.
 	Step struct {
 		At   time.Time
 		Text string
@@ -53,7 +53,7 @@
 
 // New returns an empty journal.
 func New() *Journal {
-	return &Journal{live: map[string]*Entry{}, ends: make([]*Entry, endsKept), index: map[string]*Entry{}}
+	return &Journal{live: map[string]*Entry{}, ended: make([]*Entry, maxEnded), index: map[string]*Entry{}}
 }
 
 // Begin records a new request as queued.
@@ -65,7 +65,7 @@
 	j.index[e.ID] = &e
 }
 
-// Note records a step of a request; state and engine change where given.
+// Note records a step of a request and updates state and engine unless empty.
 func (j *Journal) Note(now time.Time, id, state, engine, text string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -82,7 +82,7 @@
 	e.Steps = append(e.Steps, Step{At: now, Text: text})
 }
 
-// End records how a request ended.
+// End moves a request to the ended ones with its final state and reason.
 func (j *Journal) End(now time.Time, id, state, reason string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -92,22 +92,22 @@
 	}
 	delete(j.live, id)
 	e.State, e.Reason, e.Ended = state, reason, now
-	if old := j.ends[j.next]; old != nil {
+	if old := j.ended[j.next]; old != nil {
 		delete(j.index, old.ID)
 	}
-	j.ends[j.next] = e
-	j.next = (j.next + 1) % endsKept
+	j.ended[j.next] = e
+	j.next = (j.next + 1) % maxEnded
 }
 
-// Live returns how many requests have not ended.
+// Live returns the number of requests that have not ended.
 func (j *Journal) Live() int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return len(j.live)
 }
 
-// Rows returns the requests in a state; ended ones no older than since, where
-// since is above 0.
+// Rows returns the requests in a state. If since is above 0, ended requests are limited
+// to those that ended within it.
 func (j *Journal) Rows(now time.Time, state string, since time.Duration) []wire.Row {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -117,7 +117,7 @@
 			out = append(out, e.row(now))
 		}
 	}
-	for _, e := range j.ends {
+	for _, e := range j.ended {
 		if e != nil && e.State == state && (since <= 0 || now.Sub(e.Ended) <= since) {
 			out = append(out, e.row(now))
 		}
@@ -125,7 +125,7 @@
 	return out
 }
 
-// row turns an entry into a row.
+// row converts an entry to a row.
 func (e *Entry) row(now time.Time) wire.Row {
 	return wire.Row{
 		Name: e.ID, State: e.State, Class: e.Class, Tier: e.Tier, Team: e.Team, Pool: e.Pool, Engine: e.Engine,
--- a/internal/logline/logline.go
+++ b/internal/logline/logline.go
@@ -1,5 +1,5 @@
-// Package logline writes log lines without ever holding up who logs: lines wait
-// in a bounded queue, and those that don't fit are dropped and counted.
+// Package logline writes log lines without blocking the logging goroutine. Lines are
+// queued in a bounded queue; those that don't fit are dropped and counted.
 package logline
 
 import (
@@ -9,11 +9,11 @@
 	"sync/atomic"
 )
 
-// queueLines is how many lines may wait to be written; at 400 bytes a line
-// they take about 200 KB.
+// queueLines is the capacity of the queue; at 400 bytes per line it takes about
+// 200 KB.
 const queueLines = 512
 
-// Writer is an io.Writer that never blocks. Close writes what waits.
+// Writer is an io.Writer that never blocks. Close flushes the queue.
 type Writer struct {
 	out     io.Writer
 	lines   chan []byte
@@ -22,14 +22,14 @@
 	once    sync.Once
 }
 
-// New returns a writer to out.
+// New returns a Writer that writes to out.
 func New(out io.Writer) *Writer {
 	w := &Writer{out: out, lines: make(chan []byte, queueLines), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Write queues one line; it never fails and never waits.
+// Write queues one line. It never fails or blocks.
 func (w *Writer) Write(p []byte) (int, error) {
 	line := append([]byte(nil), p...)
 	select {
@@ -40,10 +40,10 @@
 	return len(p), nil
 }
 
-// Dropped returns how many lines were dropped so far.
+// Dropped returns the number of lines dropped so far.
 func (w *Writer) Dropped() int64 { return w.dropped.Load() }
 
-// Close writes what waits and stops; lines written afterwards are dropped.
+// Close flushes the queue and stops; lines written afterwards are dropped.
 func (w *Writer) Close() error {
 	w.once.Do(func() {
 		w.lines <- nil
@@ -52,19 +52,19 @@
 	return nil
 }
 
-// run writes lines until Close; after dropped lines it says how many.
+// run writes queued lines until Close and reports the number of dropped lines.
 func (w *Writer) run() {
 	defer close(w.done)
-	told := int64(0)
+	reported := int64(0)
 	for line := range w.lines {
 		if line == nil {
 			return
 		}
-		if dropped := w.Dropped(); dropped > told {
-			fmt.Fprintf(w.out, "{\"level\":\"WARN\",\"msg\":\"log lines dropped\",\"count\":%d}\n", dropped-told)
-			told = dropped
+		if dropped := w.Dropped(); dropped > reported {
+			fmt.Fprintf(w.out, "{\"level\":\"WARN\",\"msg\":\"log lines dropped\",\"count\":%d}\n", dropped-reported)
+			reported = dropped
 		}
-		// A log that can't be written has nowhere to be reported.
+		// A failure to write the log can't be reported anywhere.
 		_, _ = w.out.Write(line)
 	}
 }
--- a/internal/logline/logline_test.go
+++ b/internal/logline/logline_test.go
@@ -9,7 +9,7 @@
 	"github.com/croftturn/croftturn/internal/logline"
 )
 
-// blocked is an output that takes nothing until it is opened.
+// blocked is a writer that blocks until open is closed.
 type blocked struct {
 	open chan struct{}
 	mu   sync.Mutex
@@ -23,8 +23,8 @@
 	return b.text.Write(p)
 }
 
-// TestBlockedOutputHoldsNobodyUp holds that lines are dropped and counted rather
-// than waited for, and that the count is told once the output takes lines again.
+// TestBlockedOutputHoldsNobodyUp checks that lines are dropped and counted instead of
+// blocking, and that the count is logged once the output accepts lines again.
 func TestBlockedOutputHoldsNobodyUp(t *testing.T) {
 	out := &blocked{open: make(chan struct{})}
 	w := logline.New(out)
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,4 +1,4 @@
-// Package telemetry sets up logs as JSON lines, traces and metrics.
+// Package telemetry sets up JSON logs, traces and metrics.
 package telemetry
 
 import (
@@ -28,14 +28,14 @@
 )
 
 const (
-	// closeTimeout bounds the sending of the last spans.
+	// closeTimeout bounds flushing spans and metrics on Close.
 	closeTimeout = 3 * time.Second
 
-	// traceParentKey is the W3C name of the trace context.
+	// traceParentKey is the W3C key of the trace context.
 	traceParentKey = "traceparent"
 )
 
-// Propagator takes and passes on W3C trace contexts.
+// Propagator extracts and injects W3C trace contexts.
 var Propagator = propagation.TraceContext{}
 
 type (
@@ -44,28 +44,28 @@
 		Log     *slog.Logger
 		Tracer  trace.Tracer
 		Meter   metric.Meter
-		Metrics http.Handler // Metrics serves the metrics for scraping.
+		Metrics http.Handler // Metrics serves the metrics to Prometheus.
 
 		Requests   metric.Int64Counter     // Requests counts ended requests by class and outcome.
 		FirstToken metric.Float64Histogram // FirstToken is the time to the first token, in seconds.
-		Tokens     metric.Int64Counter     // Tokens counts relayed tokens.
-		Wasted     metric.Int64Counter     // Wasted counts tokens that came and were of no use.
-		Retries    metric.Int64Counter     // Retries counts requests tried again on another engine.
+		Tokens     metric.Int64Counter     // Tokens counts tokens received from engines.
+		Wasted     metric.Int64Counter     // Wasted counts tokens of responses that could not be used.
+		Retries    metric.Int64Counter     // Retries counts retries on another engine.
 
 		traces *sdktrace.TracerProvider
 		meters *sdkmetric.MeterProvider
 		file   io.Closer
 	}
 
-	// Gauge is a number that is read when metrics are scraped.
+	// Gauge is a metric whose value is read at each scrape.
 	Gauge struct {
 		Name, Help string
 		Read       func() int64
 	}
 )
 
-// TraceParent returns the W3C trace context of a traced request, or nothing, so
-// that a request which is not traced does not pay for it on the wire.
+// TraceParent returns the W3C trace context of a sampled request. For others it returns
+// an empty string, which saves bytes on the wire.
 func TraceParent(ctx context.Context) string {
 	if !trace.SpanContextFromContext(ctx).IsSampled() {
 		return ""
@@ -75,7 +75,7 @@
 	return carrier.Get(traceParentKey)
 }
 
-// WithTraceParent returns a context that goes on with a trace of another node.
+// WithTraceParent returns a context that continues another node's trace.
 func WithTraceParent(ctx context.Context, parent string) context.Context {
 	if parent == "" {
 		return ctx
@@ -83,7 +83,7 @@
 	return Propagator.Extract(ctx, propagation.MapCarrier{traceParentKey: parent})
 }
 
-// New sets up telemetry as the settings say; logs go to out.
+// New sets up telemetry from the settings and logs to out.
 func New(ctx context.Context, s *settings.Settings, out io.Writer) (*Telemetry, error) {
 	t := &Telemetry{}
 	var level slog.Level
@@ -101,7 +101,7 @@
 	return t, nil
 }
 
-// setUpTraces makes the tracer and its exporters.
+// setUpTraces creates the tracer and its exporters.
 func (t *Telemetry) setUpTraces(ctx context.Context, s *settings.Settings, res *resource.Resource) error {
 	opts := []sdktrace.TracerProviderOption{
 		sdktrace.WithResource(res),
@@ -131,7 +131,7 @@
 	return nil
 }
 
-// setUpMetrics makes the meter and the instruments that all use.
+// setUpMetrics creates the meter and the shared instruments.
 func (t *Telemetry) setUpMetrics(res *resource.Resource) error {
 	registry := prometheus.NewRegistry()
 	exporter, err := otelprom.New(otelprom.WithRegisterer(registry))
@@ -153,7 +153,7 @@
 	return nil
 }
 
-// RegisterGauges adds numbers that are read at each scrape.
+// RegisterGauges registers gauges that are read at each scrape.
 func (t *Telemetry) RegisterGauges(list ...Gauge) error {
 	for _, o := range list {
 		_, err := t.Meter.Int64ObservableGauge(o.Name, metric.WithDescription(o.Help),
@@ -168,7 +168,7 @@
 	return nil
 }
 
-// Close sends the last spans and waits for it.
+// Close flushes and stops traces and metrics, and closes the trace file.
 func (t *Telemetry) Close() error {
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
