--- a/internal/testport/testport.go
+++ b/internal/testport/testport.go
@@ -1,5 +1,5 @@
-// Package testport gives tests addresses on which nothing listens. It is for tests and their
-// stand-ins alone.
+// Package testport allocates unused loopback addresses for tests and their fakes. It must
+// not be used elsewhere.
 package testport
 
 import (
@@ -9,58 +9,57 @@
 	"sync"
 )
 
-// Ports are given out below those that the system gives to outgoing connections, and to
-// listeners that ask for any, so that none is taken between its choice and its use. Test
-// processes that run side by side have blocks of their own: each holds the first port of its
-// block as long as it lives. Two processes with one block start nodes that fail to listen, or
-// that talk to each other's stand-ins.
+// Ports are allocated below the system's ephemeral range, so that none is taken by an outgoing
+// connection or a listener on port 0 between allocation and use. Concurrent test processes use
+// separate blocks; each listens on the first port of its block for its lifetime. Two processes
+// with the same block start nodes that fail to listen or that talk to each other's fakes.
 const (
-	firstPort  = 10000
-	portsEach  = 400
-	portBlocks = 50
+	firstPort     = 10000
+	portsPerBlock = 400
+	portBlocks    = 50
 )
 
-// own is the block of ports of this process.
-var own block
+// processBlock is this process's block of ports.
+var processBlock portBlock
 
-// block gives out the ports of a block that is one process's alone.
-type block struct {
-	mu    sync.Mutex
-	first int          // first is the block's first port; 0 before a block was claimed.
-	held  net.Listener // held keeps the block from other processes.
-	given int          // given counts the ports that were given out.
+// portBlock allocates ports from a block that belongs to one process.
+type portBlock struct {
+	mu        sync.Mutex
+	first     int          // first is the block's first port; 0 until a block is claimed.
+	listener  net.Listener // listener prevents other processes from claiming the block.
+	allocated int          // allocated counts the allocated ports.
 }
 
-// Address returns a loopback address whose port is free, for TCP or UDP, each time another
-// until all of this process's were given.
-func Address() (string, error) { return own.next() }
+// Address returns a loopback address with a free port, for TCP or UDP. Ports repeat only
+// after all of this process's block were allocated.
+func Address() (string, error) { return processBlock.next() }
 
-// claim takes the first block that no process holds; the caller holds the lock.
-func (b *block) claim() error {
+// claim reserves the first free block; the caller holds b.mu.
+func (b *portBlock) claim() error {
 	for i := range portBlocks {
-		first := firstPort + (os.Getpid()+i)%portBlocks*portsEach
+		first := firstPort + (os.Getpid()+i)%portBlocks*portsPerBlock
 		held, err := net.Listen("tcp", loopback(first))
 		if err != nil {
-			continue // Another process has it.
+			continue // Another process holds the block.
 		}
-		b.first, b.held = first, held
+		b.first, b.listener = first, held
 		return nil
 	}
 	return fmt.Errorf("no block of ports is free, of %d", portBlocks)
 }
 
-// next returns the next free port of the block, claiming one first if need be.
-func (b *block) next() (string, error) {
+// next returns the address of the next free port, claiming a block on first use.
+func (b *portBlock) next() (string, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.held == nil {
+	if b.listener == nil {
 		if err := b.claim(); err != nil {
 			return "", err
 		}
 	}
-	for range portsEach {
-		b.given++
-		address := loopback(b.first + 1 + b.given%(portsEach-1))
+	for range portsPerBlock {
+		b.allocated++
+		address := loopback(b.first + 1 + b.allocated%(portsPerBlock-1))
 		l, err := net.Listen("tcp", address)
 		if err != nil {
 			continue
@@ -70,8 +69,8 @@
 		}
 		return address, nil
 	}
-	return "", fmt.Errorf("no port is free among the %d from %d", portsEach, b.first)
+	return "", fmt.Errorf("no port is free among the %d from %d", portsPerBlock, b.first)
 }
 
-// loopback returns the address of a port.
+// loopback returns the loopback address of a port.
 func loopback(port int) string { return fmt.Sprintf("127.0.0.1:%d", port) }
