--- a/cmd/croftctl/client.go
+++ b/cmd/croftctl/client.go
@@ -18,22 +18,22 @@
 	"github.com/croftturn/croftturn/internal/wire"
 )
 
-// callTimeout bounds one call; a change is pursued by the node for less.
-const callTimeout = 15 * time.Second
+// requestTimeout bounds one request; it exceeds the node's timeout for writing a change.
+const requestTimeout = 15 * time.Second
 
-// client calls a node's administration API.
+// client is a client of a node's administration API.
 type client struct {
 	options
 	http *http.Client
 }
 
-// newClient returns a client for the flags.
+// newClient returns a client with the given options.
 func newClient(o options) *client {
-	return &client{options: o, http: &http.Client{Timeout: callTimeout}}
+	return &client{options: o, http: &http.Client{Timeout: requestTimeout}}
 }
 
-// prefixed returns a subcommand that is a statement of its own.
-func prefixed(word string) func(ctx context.Context, c *client, args []string) error {
+// runPrefixed returns a subcommand whose statement starts with word.
+func runPrefixed(word string) func(ctx context.Context, c *client, args []string) error {
 	return func(ctx context.Context, c *client, args []string) error {
 		return runStatement(ctx, c, append([]string{word}, args...))
 	}
@@ -65,7 +65,7 @@
 	return c.send(ctx, "/admin/v1/configuration?change_id="+id, id, text)
 }
 
-// newChangeID returns the id of a change.
+// newChangeID returns a random change id.
 func newChangeID() string {
 	var b [8]byte
 	if _, err := rand.Read(b[:]); err != nil {
@@ -135,7 +135,7 @@
 	}
 }
 
-// printRows prints rows; columns in which no row has anything are left out.
+// printRows prints rows without the columns that are empty in all of them.
 func printRows(w io.Writer, rows []wire.Row) {
 	columns := []struct {
 		title string
@@ -148,8 +148,8 @@
 		{"TEAM", func(r wire.Row) string { return r.Team }},
 		{"POOL", func(r wire.Row) string { return r.Pool }},
 		{"ENGINE", func(r wire.Row) string { return r.Engine }},
-		{"COUNT", func(r wire.Row) string { return number(r.Count) }},
-		{"AGE_MS", func(r wire.Row) string { return number(r.AgeMs) }},
+		{"COUNT", func(r wire.Row) string { return formatCount(r.Count) }},
+		{"AGE_MS", func(r wire.Row) string { return formatCount(r.AgeMs) }},
 		{"REASON", func(r wire.Row) string { return r.Reason }},
 	}
 	used := columns[:0]
@@ -177,8 +177,8 @@
 	}
 }
 
-// number prints a number, or nothing for 0.
-func number(n int) string {
+// formatCount formats a number, with an empty string for 0.
+func formatCount(n int) string {
 	if n == 0 {
 		return ""
 	}
--- a/cmd/croftturn/main.go
+++ b/cmd/croftturn/main.go
@@ -1,5 +1,5 @@
-// Command croftturn is the node: it takes callers' requests, decides together
-// with the other nodes which engine takes each, and passes the answers back.
+// Command croftturn runs a node. A node accepts requests, schedules them on engines in
+// coordination with the other nodes, and relays the responses.
 package main
 
 import (
@@ -21,11 +21,11 @@
 	// version is the product's version.
 	version = "0.1.0"
 
-	// settingsVariable names the settings file where the command line does not.
-	settingsVariable = "CROFTTURN_SETTINGS"
+	// settingsEnv is the environment variable with the default settings file.
+	settingsEnv = "CROFTTURN_SETTINGS"
 )
 
-// command is one subcommand: a name, what it is for, and what it does.
+// command is one subcommand.
 type command struct {
 	name, synopsis, usage string
 	run                   func(ctx context.Context, args []string) error
@@ -42,16 +42,16 @@
 // Name returns the subcommand's name.
 func (c *command) Name() string { return c.name }
 
-// Synopsis returns what the subcommand is for.
+// Synopsis returns a one-line description of the subcommand.
 func (c *command) Synopsis() string { return c.synopsis }
 
-// Usage returns how to call the subcommand.
+// Usage returns the usage text of the subcommand.
 func (c *command) Usage() string { return c.usage }
 
-// SetFlags has no flags to set.
+// SetFlags does nothing: the subcommands have no flags.
 func (c *command) SetFlags(*flag.FlagSet) {}
 
-// Execute runs the subcommand and prints its error.
+// Execute runs the subcommand and prints its error to stderr.
 func (c *command) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if err := c.run(ctx, f.Args()); err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -60,7 +60,7 @@
 	return subcommands.ExitSuccess
 }
 
-// main runs the subcommand that the command line names.
+// main runs the subcommand named on the command line.
 func main() {
 	subcommands.Register(subcommands.HelpCommand(), "")
 	subcommands.Register(subcommands.FlagsCommand(), "")
@@ -73,17 +73,17 @@
 	os.Exit(int(subcommands.Execute(ctx)))
 }
 
-// load reads the settings file that the arguments name.
-func load(args []string) (*settings.Settings, error) {
+// loadSettings reads the settings file named by the only argument.
+func loadSettings(args []string) (*settings.Settings, error) {
 	if len(args) != 1 {
 		return nil, fmt.Errorf("want one settings file, got %d arguments", len(args))
 	}
 	return settings.Load(args[0])
 }
 
-// runNode runs the node until it is told to stop.
+// runNode runs a node until the context ends.
 func runNode(ctx context.Context, args []string) error {
-	s, err := load(args)
+	s, err := loadSettings(args)
 	if err != nil {
 		return err
 	}
@@ -95,12 +95,13 @@
 	return n.Close()
 }
 
-// runEdge runs the node on the users' platform until it is told to stop.
+// runEdge runs a node on the users' platform until the context ends, and reloads the
+// settings on SIGHUP.
 func runEdge(ctx context.Context, args []string) error {
 	if len(args) == 0 {
-		args = []string{os.Getenv(settingsVariable)}
+		args = []string{os.Getenv(settingsEnv)}
 	}
-	s, err := load(args)
+	s, err := loadSettings(args)
 	if err != nil {
 		return err
 	}
@@ -116,14 +117,14 @@
 		case <-ctx.Done():
 			return e.Close()
 		case <-reload:
-			e.Reload(func() (*settings.Settings, error) { return load(args) })
+			e.Reload(func() (*settings.Settings, error) { return loadSettings(args) })
 		}
 	}
 }
 
-// checkSettings reports what is wrong with a settings file.
+// checkSettings validates a settings file.
 func checkSettings(_ context.Context, args []string) error {
-	if _, err := load(args); err != nil {
+	if _, err := loadSettings(args); err != nil {
 		return err
 	}
 	fmt.Println("ok")
