--- a/internal/front/entry.go
+++ b/internal/front/entry.go
@@ -37,7 +37,7 @@
 	}
 	doc.EntryPoints = []entryPoint{}
 	// The remote address with its port distinguishes callers of one team.
-	for _, name := range member.Top("entry/"+team.Name+"/"+r.RemoteAddr, names, maxEntryPoints) {
+	for _, name := range member.TopRanked("entry/"+team.Name+"/"+r.RemoteAddr, names, maxEntryPoints) {
 		doc.EntryPoints = append(doc.EntryPoints, entryPoint{Address: nodes[name].CallerAddress, Hall: nodes[name].Hall})
 	}
 	doc.KeepMs = f.limits.EntryPointTTL.Milliseconds()
--- a/internal/front/once_test.go
+++ b/internal/front/once_test.go
@@ -47,7 +47,7 @@
 // earlier attempt can claim it any more, and that a new attempt may run.
 func TestRefusalIsMadeCertain(t *testing.T) {
 	r := newTestServer(t, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "accepted") })
-	stale := claim.NewKeeper(r.table, "n2", 1, time.Millisecond)
+	stale := claim.NewClaimer(r.table, "n2", 1, time.Millisecond)
 	defer stale.Close()
 	attempt, err := stale.Begin(context.Background(), "alfa/k1", "stale")
 	if err != nil {
--- a/internal/front/rig_test.go
+++ b/internal/front/rig_test.go
@@ -175,7 +175,7 @@
 	r := &testServer{sched: &roundRobin{views: views{view}}, table: &table{rows: map[string]kv.Row{}}}
 	client := engine.NewClient(2 * time.Second)
 	t.Cleanup(client.Close)
-	keeper := claim.NewKeeper(r.table, "n1", 1, time.Millisecond)
+	keeper := claim.NewClaimer(r.table, "n1", 1, time.Millisecond)
 	t.Cleanup(keeper.Close)
 	f := front.New(views{view}, singleNode{}, singleNode{}, client, journal.New(), tele,
 		front.WithScheduler(config.PoolSchedulerDirect, r.sched),
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -44,7 +44,7 @@
 	table    *member.Table
 	members  *member.Service
 	store    *config.Store
-	keeper   *config.Keeper
+	keeper   *config.Syncer
 	journal  *journal.Journal
 	watcher  *engine.Watcher
 	direct   *sched.Direct
@@ -53,7 +53,7 @@
 	brokered *sched.Brokered
 	engines  *engine.Client
 	orders   *order.Service
-	claims   *claim.Keeper
+	claims   *claim.Claimer
 	sweeper  *claim.Sweeper
 	front    *front.Front
 	admin    *admin.Admin
@@ -115,7 +115,7 @@
 	}
 	n.table = member.NewTable(now, self, member.Options{Heartbeat: ms(s.HeartbeatMs), Suspect: ms(s.SuspectMs), Observers: s.Observers})
 	n.store = config.NewStore()
-	n.keeper = config.NewKeeper(n.store, n.platform, n, log)
+	n.keeper = config.NewSyncer(n.store, n.platform, n, log)
 	n.members = member.NewService(n.table, n.client, n.store, n.keeper.Wake, n.seeds, log)
 	n.journal = journal.New()
 	n.watcher = engine.NewWatcher()
@@ -125,7 +125,7 @@
 	n.brokered = sched.NewBrokered(n.table, n.brokers, n.client, n.store, n.shared, log)
 	n.engines = engine.NewClient(ms(s.EngineStallMs))
 	n.orders = order.New(n.store, n.platform, n.engines, n.brokers, s.Instance, log)
-	n.claims = claim.NewKeeper(n.platform, s.Instance, self.Incarnation, ms(s.ClaimGatherMs), claim.WithForwarder(n))
+	n.claims = claim.NewClaimer(n.platform, s.Instance, self.Incarnation, ms(s.ClaimGatherMs), claim.WithForwarder(n))
 	n.sweeper = claim.NewSweeper(n.platform, time.Duration(s.ClaimKeepHours)*time.Hour, n.isClaimSweeper, log)
 	n.front = front.New(n.store, n.table, n.client, n.engines, n.journal, n.tele,
 		front.WithScheduler(config.PoolSchedulerBroker, n.brokered),
@@ -135,7 +135,7 @@
 		front.WithLimits(front.Limits{MaxBody: int64(s.MaxBodyBytes), WriteTimeout: ms(s.WriteTimeoutMs), EntryPointTTL: ms(s.EntryKeepMs)}),
 	)
 	n.admin = admin.New(n.store, n.keeper, n.table, n.client, n, log,
-		admin.WithBootstrap(s.BootstrapTokenSha256), admin.WithAccepted(n.members.Kick),
+		admin.WithBootstrap(s.BootstrapTokenSha256), admin.WithAccepted(n.members.SendNow),
 		admin.WithReady(n.Ready), admin.WithMetrics(n.tele.Metrics),
 	)
 	n.registerPeerMethods()
@@ -143,17 +143,17 @@
 
 // registerPeerMethods registers the RPC methods that peers may call.
 func (n *Node) registerPeerMethods() {
-	n.server.Handle(member.MethodHeartbeat, peer.Typed(n.members.Answer))
+	n.server.Handle(member.MethodHeartbeat, peer.Typed(n.members.HandleHeartbeat))
 	n.server.Handle(broker.MethodAcquire, peer.Typed(n.brokers.Acquire))
 	n.server.Handle(broker.MethodRelease, peer.Typed(n.brokers.Release))
 	n.server.Handle(broker.MethodCancel, peer.Typed(n.brokers.Cancel))
 	n.server.Handle(broker.MethodReport, peer.Typed(n.brokers.Report))
-	n.server.Handle(broker.MethodPulse, peer.Typed(n.brokers.Pulse))
+	n.server.Handle(broker.MethodPing, peer.Typed(n.brokers.Ping))
 	n.server.Handle(front.MethodOutcome, peer.Typed(n.front.HandleOutcome))
 	n.server.Handle(front.MethodRun, peer.Typed(n.front.HandleRun))
-	n.server.Handle(claim.MethodClaims, peer.Typed(n.claims.AnswerClaims))
+	n.server.Handle(claim.MethodClaims, peer.Typed(n.claims.HandleClaims))
 	n.server.Handle(methodChanges, peer.Typed(func(_ context.Context, r *wire.ChangesRequest) (any, error) {
-		return n.keeper.Answer(r.After)
+		return n.keeper.ChangesReply(r.After)
 	}))
 	n.server.Handle(admin.MethodQuery, peer.Typed(func(_ context.Context, q *wire.QueryRequest) (any, error) {
 		return &wire.QueryReply{Rows: n.Rows(clock.Now(), q)}, nil
--- a/internal/sched/shared.go
+++ b/internal/sched/shared.go
@@ -44,7 +44,7 @@
 // Share returns how many of an engine's slots a node has, of so many nodes.
 func Share(node, engine string, slots int, nodes []string) int {
 	share := slots / len(nodes)
-	if slices.Contains(member.Top("share/"+engine, nodes, slots%len(nodes)), node) {
+	if slices.Contains(member.TopRanked("share/"+engine, nodes, slots%len(nodes)), node) {
 		share++
 	}
 	return share
@@ -72,7 +72,7 @@
 		return
 	}
 	self := s.members.Self().Name
-	nodes := broker.Names(s.members.Live())
+	nodes := broker.MemberNames(s.members.Live())
 	var engines []broker.Engine
 	for _, e := range broker.EnginesOf(view, name) {
 		e.Slots = Share(self, e.Name, e.Slots, nodes)
