--- a/internal/member/service.go
+++ b/internal/member/service.go
@@ -11,14 +11,16 @@
 )
 
 const (
-	// MethodHeartbeat is the peers' method that takes a Heartbeat.
+	// MethodHeartbeat is the peer method that receives a Heartbeat.
 	MethodHeartbeat = "hb"
 
-	// kickDelay gathers changes before they are sent ahead of the next heartbeat.
-	kickDelay = 20 * time.Millisecond
+	// debounceDelay is how long changes are batched before an early heartbeat sends
+	// them.
+	debounceDelay = 20 * time.Millisecond
 
-	// repairEvery bounds how often one node sends its whole table.
-	repairEvery = 2 * time.Second
+	// fullSyncInterval is the minimum time between two full-table replies that one
+	// node sends to repair differences.
+	fullSyncInterval = 2 * time.Second
 )
 
 type (
@@ -27,38 +29,39 @@
 		Call(ctx context.Context, address, method string, params, result any) error
 	}
 
-	// Versions tells and takes configuration versions, which ride on heartbeats.
+	// Versions returns the configuration version to send with heartbeats.
 	Versions interface {
 		Version() int
 	}
 
-	// Service sends and answers heartbeats.
+	// Service sends heartbeats and replies to them.
 	Service struct {
-		table    *Table
-		caller   Caller
-		versions Versions
-		newer    func() // newer is called when a peer has a newer configuration.
-		seeds    func(ctx context.Context) []string
-		log      *slog.Logger
-		now      func() time.Time
-		kick     chan struct{}
-		wg       sync.WaitGroup
-
-		mu       sync.Mutex
-		repaired time.Time
+		table         *Table
+		caller        Caller
+		versions      Versions
+		onNewerConfig func() // onNewerConfig is called when a peer has a newer configuration.
+		seeds         func(ctx context.Context) []string
+		log           *slog.Logger
+		now           func() time.Time
+		sendNow       chan struct{}
+		wg            sync.WaitGroup
+
+		mu           sync.Mutex
+		lastFullSync time.Time
 	}
 )
 
-// NewService returns a service on a table. newer is called when a peer has a
-// newer configuration; seeds lists peer addresses to ask while nobody is known.
-func NewService(table *Table, caller Caller, versions Versions, newer func(), seeds func(ctx context.Context) []string, log *slog.Logger) *Service {
+// NewService returns a service for a table. onNewerConfig is called when a peer has
+// a newer configuration; seeds returns the peer addresses to contact while no other
+// member is known.
+func NewService(table *Table, caller Caller, versions Versions, onNewerConfig func(), seeds func(ctx context.Context) []string, log *slog.Logger) *Service {
 	return &Service{
-		table: table, caller: caller, versions: versions, newer: newer, seeds: seeds, log: log,
-		now: clock.Now, kick: make(chan struct{}, 1),
+		table: table, caller: caller, versions: versions, onNewerConfig: onNewerConfig, seeds: seeds, log: log,
+		now: clock.Now, sendNow: make(chan struct{}, 1),
 	}
 }
 
-// Run sends heartbeats until the context ends, then waits for those in flight.
+// Run sends heartbeats until the context is done, then waits for those in flight.
 func (s *Service) Run(ctx context.Context) {
 	defer s.wg.Wait()
 	tick := time.NewTicker(s.table.opts.Heartbeat)
@@ -66,30 +69,30 @@
 	for {
 		changed := s.table.Changed()
 		now := s.now()
-		s.table.Observe(now)
-		s.beat(ctx, now)
+		s.table.DetectFailures(now)
+		s.sendHeartbeats(ctx, now)
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
 		case <-changed:
-			s.settle(ctx)
-		case <-s.kick:
+			s.debounce(ctx)
+		case <-s.sendNow:
 		}
 	}
 }
 
-// Kick sends heartbeats at once, such as after a change of configuration.
-func (s *Service) Kick() {
+// SendNow sends heartbeats immediately, for example after a configuration change.
+func (s *Service) SendNow() {
 	select {
-	case s.kick <- struct{}{}:
+	case s.sendNow <- struct{}{}:
 	default:
 	}
 }
 
-// settle waits a moment, so that changes which come together go out together.
-func (s *Service) settle(ctx context.Context) {
-	t := time.NewTimer(kickDelay)
+// debounce waits briefly so that changes close in time are sent together.
+func (s *Service) debounce(ctx context.Context) {
+	t := time.NewTimer(debounceDelay)
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
@@ -97,12 +100,13 @@
 	}
 }
 
-// beat sends one heartbeat to each observer, or to the seeds while alone.
-func (s *Service) beat(ctx context.Context, now time.Time) {
+// sendHeartbeats sends a heartbeat to each observer, or to the seeds while no other
+// member is known.
+func (s *Service) sendHeartbeats(ctx context.Context, now time.Time) {
 	self := s.table.Self()
 	hb := &wire.Heartbeat{
 		From: self.Name, Incarnation: self.Incarnation, ConfigVersion: s.versions.Version(),
-		Members: s.table.News(now), TableHash: s.table.Hash(),
+		Members: s.table.RecentChanges(now), TableHash: s.table.Hash(),
 	}
 	targets := s.table.Targets()
 	if len(targets) == 0 {
@@ -112,7 +116,7 @@
 			defer s.wg.Done()
 			for _, address := range s.seeds(ctx) {
 				if address != self.PeerAddress {
-					s.send(ctx, address, hb)
+					s.sendHeartbeat(ctx, address, hb)
 				}
 			}
 		}()
@@ -122,66 +126,69 @@
 		s.wg.Add(1)
 		go func() {
 			defer s.wg.Done()
-			s.send(ctx, m.PeerAddress, hb)
+			s.sendHeartbeat(ctx, m.PeerAddress, hb)
 		}()
 	}
 }
 
-// send sends a heartbeat and takes the news of its answer.
-func (s *Service) send(ctx context.Context, address string, hb *wire.Heartbeat) {
+// sendHeartbeat sends a heartbeat and merges the members in the reply.
+func (s *Service) sendHeartbeat(ctx context.Context, address string, hb *wire.Heartbeat) {
 	ctx, cancel := context.WithTimeout(ctx, s.table.opts.Suspect)
 	defer cancel()
 	reply := &wire.HeartbeatReply{}
 	if err := s.caller.Call(ctx, address, MethodHeartbeat, hb, reply); err != nil {
-		s.log.Debug("heartbeat not answered", "peer", address, "error", err.Error())
+		s.log.Debug("heartbeat failed", "peer", address, "error", err.Error())
 		return
 	}
 	s.table.Merge(s.now(), reply.Members)
 	s.compareVersion(reply.ConfigVersion)
 }
 
-// Answer takes a heartbeat and returns this node's news; it is the handler of
-// MethodHeartbeat.
-func (s *Service) Answer(_ context.Context, hb *wire.Heartbeat) (any, error) {
+// HandleHeartbeat merges a heartbeat and replies with the members its sender
+// should know; it is the handler of MethodHeartbeat.
+func (s *Service) HandleHeartbeat(_ context.Context, hb *wire.Heartbeat) (any, error) {
 	now := s.now()
 	s.table.Merge(now, hb.Members)
-	s.table.Heard(now, hb.From, hb.Incarnation)
+	s.table.RecordHeartbeat(now, hb.From, hb.Incarnation)
 	s.compareVersion(hb.ConfigVersion)
 	reply := &wire.HeartbeatReply{ConfigVersion: s.versions.Version()}
-	reply.Members = s.news(now, hb)
+	reply.Members = s.replyMembers(now, hb)
 	return reply, nil
 }
 
-// news returns what the sender of a heartbeat should know: the latest changes,
-// or the whole table where the sender is unknown, thought dead, or differs.
-func (s *Service) news(now time.Time, hb *wire.Heartbeat) []wire.Member {
+// replyMembers returns the members to send to the sender of a heartbeat: the
+// whole table if the sender is unknown, suspect or dead, or no other member is known;
+// if its table differs, the whole table at most once per fullSyncInterval and
+// otherwise recent changes.
+func (s *Service) replyMembers(now time.Time, hb *wire.Heartbeat) []wire.Member {
 	m, known := s.table.Member(hb.From)
-	stranger := !known || m.State == wire.MemberStateD || m.State == wire.MemberStateS
+	unknownOrSuspect := !known || m.State == wire.MemberStateD || m.State == wire.MemberStateS
 	differs := hb.TableHash != s.table.Hash()
-	if stranger || s.table.Len() <= 1 || (differs && s.mayRepair(now)) {
+	if unknownOrSuspect || s.table.Len() <= 1 || (differs && s.allowFullSync(now)) {
 		return s.table.All()
 	}
 	var out []wire.Member
 	if differs {
-		out = s.table.News(now)
+		out = s.table.RecentChanges(now)
 	}
 	return out
 }
 
-// mayRepair reports whether the whole table may be sent now.
-func (s *Service) mayRepair(now time.Time) bool {
+// allowFullSync reports whether the whole table may be sent now, and if so starts
+// the next interval.
+func (s *Service) allowFullSync(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if now.Sub(s.repaired) < repairEvery {
+	if now.Sub(s.lastFullSync) < fullSyncInterval {
 		return false
 	}
-	s.repaired = now
+	s.lastFullSync = now
 	return true
 }
 
-// compareVersion reports a newer configuration of a peer.
+// compareVersion calls onNewerConfig if a peer has a newer configuration.
 func (s *Service) compareVersion(version int) {
 	if version > s.versions.Version() {
-		s.newer()
+		s.onNewerConfig()
 	}
 }
