--- a/internal/admin/run.go
+++ b/internal/admin/run.go
@@ -17,10 +17,10 @@
 	"github.com/croftturn/croftturn/internal/wire"
 )
 
-// historyMost bounds how many changes one answer holds.
-const historyMost = 1000
+// maxHistory is the maximum number of changes in one response.
+const maxHistory = 1000
 
-// query asks all nodes and filters and groups their rows.
+// query collects the rows of all nodes, then filters and groups them.
 func (a *Admin) query(ctx context.Context, q *lang.Query) (*Result, error) {
 	age, err := q.Age()
 	if err != nil {
@@ -32,7 +32,7 @@
 	if q.Table == "members" {
 		rows = a.tables.Rows(clock.Now(), req)
 	} else {
-		rows, missing = a.ask(ctx, req)
+		rows, missing = a.queryNodes(ctx, req)
 	}
 	kept := rows[:0]
 	for _, r := range rows {
@@ -52,8 +52,9 @@
 	return &Result{Rows: kept, Missing: missing}, nil
 }
 
-// ask asks all live nodes for rows, and names those that did not answer.
-func (a *Admin) ask(ctx context.Context, req *wire.QueryRequest) (rows []wire.Row, missing []string) {
+// queryNodes collects rows from all live nodes and returns the names of those that did not
+// answer.
+func (a *Admin) queryNodes(ctx context.Context, req *wire.QueryRequest) (rows []wire.Row, missing []string) {
 	ctx, cancel := context.WithTimeout(ctx, fanOutTimeout)
 	defer cancel()
 	var mu sync.Mutex
@@ -88,7 +89,7 @@
 	return rows, missing
 }
 
-// field returns a row's field as text.
+// field returns the value of a row's field as text.
 func field(r wire.Row, name string) (string, error) {
 	switch name {
 	case "node":
@@ -113,7 +114,7 @@
 	return "", trace.BadParameter("no field %q; fields are node, name, state, class, tier, team, pool, engine, reason", name)
 }
 
-// matches reports whether a row meets all conditions.
+// matches reports whether a row satisfies all conditions.
 func matches(r wire.Row, where []lang.Condition) (bool, error) {
 	for _, c := range where {
 		got, err := field(r, c.Field)
@@ -148,7 +149,7 @@
 	return out, nil
 }
 
-// unquote takes the quotes off a string.
+// unquote removes the quotes of a quoted string.
 func unquote(text string) string {
 	if plain, err := strconv.Unquote(text); err == nil {
 		return plain
@@ -156,7 +157,7 @@
 	return text
 }
 
-// history returns accepted changes.
+// history returns the accepted changes after a version.
 func (a *Admin) history(ctx context.Context, h *lang.History) (*Result, error) {
 	after := 0
 	if h.After != "" {
@@ -166,7 +167,7 @@
 		}
 		after = n
 	}
-	changes, err := a.keeper.History(ctx, after, historyMost)
+	changes, err := a.keeper.History(ctx, after, maxHistory)
 	if err != nil {
 		return nil, fmt.Errorf("read history: %w", err)
 	}
@@ -176,7 +177,7 @@
 	return &Result{Changes: changes}, nil
 }
 
-// edit returns the edit of a statement that changes the configuration.
+// edit converts a statement to an edit of the configuration.
 func (a *Admin) edit(ctx context.Context, s *lang.Statement) (config.Edit, error) {
 	switch {
 	case s.State != nil && s.State.Verb == "drain":
@@ -190,35 +191,35 @@
 	case s.Order != nil:
 		return config.SetOrder(s.Order.Engine, unquote(s.Order.Text)), nil
 	case s.Set != nil:
-		return config.SetFields(wire.EntityKind(s.Set.Kind), s.Set.Name, fields(s.Set.Fields)), nil
+		return config.SetFields(wire.EntityKind(s.Set.Kind), s.Set.Name, configFields(s.Set.Fields)), nil
 	}
 	return nil, trace.BadParameter("the statement changes nothing")
 }
 
-// fields turns assignments into fields: numbers and truth values stand for
-// themselves, all else is text, and a text with commas for a list is quoted JSON.
-func fields(list []lang.Assignment) []config.Field {
+// configFields converts assignments to configuration fields. Numbers and booleans keep
+// their type, lists are given as quoted JSON, and other values are text.
+func configFields(list []lang.Assignment) []config.Field {
 	out := make([]config.Field, 0, len(list))
 	for _, a := range list {
-		out = append(out, config.Field{Name: a.Field, Value: value(a.Value)})
+		out = append(out, config.Field{Name: a.Field, Value: jsonValue(a.Value)})
 	}
 	return out
 }
 
-// value turns a word or a quoted text into JSON.
-func value(text string) json.RawMessage {
+// jsonValue converts a word or a quoted string to JSON.
+func jsonValue(text string) json.RawMessage {
 	plain := unquote(text)
 	if plain != text && !strings.HasPrefix(plain, "[") {
-		return quoted(plain)
+		return jsonString(plain)
 	}
 	if json.Valid([]byte(plain)) {
 		return json.RawMessage(plain)
 	}
-	return quoted(plain)
+	return jsonString(plain)
 }
 
-// quoted returns a text as a JSON string.
-func quoted(text string) json.RawMessage {
+// jsonString encodes a text as a JSON string.
+func jsonString(text string) json.RawMessage {
 	out, err := json.Marshal(text)
 	if err != nil {
 		return json.RawMessage(`""`)
--- a/internal/member/owner.go
+++ b/internal/member/owner.go
@@ -7,32 +7,32 @@
 	"github.com/croftturn/croftturn/internal/wire"
 )
 
-// Owner returns the member that a key belongs to: the first by rendezvous
-// hashing among those that are alive, or where there is none, among the suspect.
+// Owner returns the member that owns a key: the first by rendezvous hashing among
+// the alive members or, if there are none, among the suspect ones.
 func (t *Table) Owner(key string) (wire.Member, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var alive, doubted []string
+	var alive, suspected []string
 	for n, e := range t.entries {
 		switch e.State {
 		case wire.MemberStateA:
 			alive = append(alive, n)
 		case wire.MemberStateS:
-			doubted = append(doubted, n)
+			suspected = append(suspected, n)
 		}
 	}
 	if len(alive) == 0 {
-		alive = doubted
+		alive = suspected
 	}
-	top := Top(key, alive, 1)
+	top := TopRanked(key, alive, 1)
 	if len(top) == 0 {
 		return wire.Member{}, false
 	}
 	return t.entries[top[0]].Member, true
 }
 
-// Top returns the n names that rank first for a key by rendezvous hashing.
-func Top(key string, names []string, n int) []string {
+// TopRanked returns the n highest-ranked names for a key by rendezvous hashing.
+func TopRanked(key string, names []string, n int) []string {
 	type scored struct {
 		name  string
 		score uint64
@@ -54,7 +54,7 @@
 	return out
 }
 
-// contains reports whether a name is in a short list.
+// contains reports whether a list includes a name.
 func contains(list []string, name string) bool {
 	for _, n := range list {
 		if n == name {
