--- a/lab/check/check_test.go
+++ b/lab/check/check_test.go
@@ -7,13 +7,13 @@
 	"github.com/croftturn/croftturn/lab/record"
 )
 
-// TestPlantedFaults checks that each planted fault is found, and that a run
-// without one gives no verdict.
+// TestPlantedFaults checks that every planted fault is found, and that a run without faults
+// has no violation.
 func TestPlantedFaults(t *testing.T) {
 	start := func(request, backend string, at int64) record.Execution {
 		return record.Execution{Backend: backend, Request: request, Key: "k", Mark: "m", Event: "start", AtMs: at}
 	}
-	sending := func(try int, outcome, request string, at int64) record.Sending {
+	attempt := func(try int, outcome, request string, at int64) record.Sending {
 		return record.Sending{Mark: "m", Try: try, Key: "t/k", Outcome: outcome, Request: request, SentMs: at, TotalMs: 10}
 	}
 	for _, tc := range []struct {
@@ -22,13 +22,13 @@
 		executed []record.Execution
 		want     string
 	}{
-		{"clean", []record.Sending{sending(1, "completed", "r1", 0)}, []record.Execution{start("r1", "e1", 1)}, ""},
-		{"refused, then run by a later try", []record.Sending{sending(1, "not_run", "r1", 0), sending(2, "completed", "r2", 20)}, []record.Execution{start("r2", "e1", 25)}, ""},
-		{"run twice", []record.Sending{sending(1, "unknown", "r1", 0), sending(2, "completed", "r2", 20)}, []record.Execution{start("r1", "e1", 1), start("r2", "e2", 21)}, check.AtMostOnce},
-		{"refused but run", []record.Sending{sending(1, "not_run", "r1", 0)}, []record.Execution{start("r1", "e1", 1)}, check.NotRun},
-		{"refused but an earlier try runs later", []record.Sending{sending(1, "error", "", 0), sending(2, "not_run", "r2", 5)}, []record.Execution{start("r1", "e1", 50)}, check.NotRun},
-		{"another's answer", []record.Sending{{Mark: "m", Outcome: "completed", Fault: "token 3 is another's"}}, []record.Execution{start("r1", "e1", 1)}, check.WholeAnswers},
-		{"answer from nowhere", []record.Sending{sending(1, "completed", "r1", 0)}, nil, check.WholeAnswers},
+		{"no violation", []record.Sending{attempt(1, "completed", "r1", 0)}, []record.Execution{start("r1", "e1", 1)}, ""},
+		{"refused, then run by a later attempt", []record.Sending{attempt(1, "not_run", "r1", 0), attempt(2, "completed", "r2", 20)}, []record.Execution{start("r2", "e1", 25)}, ""},
+		{"run twice", []record.Sending{attempt(1, "unknown", "r1", 0), attempt(2, "completed", "r2", 20)}, []record.Execution{start("r1", "e1", 1), start("r2", "e2", 21)}, check.AtMostOnce},
+		{"refused but run", []record.Sending{attempt(1, "not_run", "r1", 0)}, []record.Execution{start("r1", "e1", 1)}, check.NotRun},
+		{"refused, but an earlier attempt runs later", []record.Sending{attempt(1, "error", "", 0), attempt(2, "not_run", "r2", 5)}, []record.Execution{start("r1", "e1", 50)}, check.NotRun},
+		{"answer of another request", []record.Sending{{Mark: "m", Outcome: "completed", Fault: "token 3 is another's"}}, []record.Execution{start("r1", "e1", 1)}, check.CompleteAnswers},
+		{"answer without an execution", []record.Sending{attempt(1, "completed", "r1", 0)}, nil, check.CompleteAnswers},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			got := check.Run(tc.sent, tc.executed)
