--- a/lab/bench/bench.go
+++ b/lab/bench/bench.go
@@ -151,7 +151,7 @@
 		}
 	}
 	for _, s := range r.Report.Sent {
-		if s.Outcome == "completed" && s.OutputAsked > 1 {
+		if s.Outcome == "completed" && s.OutputRequested > 1 {
 			useful += s.Tokens
 		}
 	}
@@ -193,16 +193,16 @@
 // inversions counts requests for the model pool that were refused for want of
 // room while a request of a lower tier that was sent before waited on and was
 // served after.
-func inversions(sent []record.Sending) int {
+func inversions(sent []record.Attempt) int {
 	n := 0
 	for _, s := range sent {
-		if s.Outcome != "not_run" || s.OutputAsked <= 1 {
+		if s.Outcome != "not_run" || s.OutputRequested <= 1 {
 			continue
 		}
 		refusedAt := float64(s.SentMs) + s.TotalMs
 		for _, other := range sent {
 			first := float64(other.SentMs) + other.FirstMs
-			if other.OutputAsked > 1 && other.Tier > s.Tier && other.Outcome == "completed" && other.SentMs < s.SentMs && first > refusedAt {
+			if other.OutputRequested > 1 && other.Tier > s.Tier && other.Outcome == "completed" && other.SentMs < s.SentMs && first > refusedAt {
 				n++
 				break
 			}
--- a/lab/bench/bench_test.go
+++ b/lab/bench/bench_test.go
@@ -12,14 +12,14 @@
 )
 
 // sending returns a request for the model pool.
-func sending(class string, tier int, at int64, outcome string, firstMs float64) record.Sending {
-	return record.Sending{Mark: class, Class: class, Tier: tier, SentMs: at, Outcome: outcome, FirstMs: firstMs, TotalMs: 10, OutputAsked: 20, OnTime: outcome == "completed"}
+func sending(class string, tier int, at int64, outcome string, firstMs float64) record.Attempt {
+	return record.Attempt{Mark: class, Class: class, Tier: tier, SentMs: at, Outcome: outcome, FirstMs: firstMs, TotalMs: 10, OutputRequested: 20, OnTime: outcome == "completed"}
 }
 
 func TestPlotsAreDrawn(t *testing.T) {
 	dir := t.TempDir()
 	r := &Result{
-		Report: &load.Report{Sent: []record.Sending{sending("confirm", 1, 0, "completed", 5), sending("confirm", 1, 1500, "not_run", 0), sending("explain", 3, 2500, "completed", 9)}},
+		Report: &load.Report{Sent: []record.Attempt{sending("confirm", 1, 0, "completed", 5), sending("confirm", 1, 1500, "not_run", 0), sending("explain", 3, 2500, "completed", 9)}},
 		Queue:  []QueueSample{{Seconds: 0.25, Tiers: map[int]int{1: 3}}, {Seconds: 0.5, Tiers: map[int]int{1: 1, 3: 7}}},
 	}
 	if err := Plot(dir, "run", r); err != nil {
@@ -36,7 +36,7 @@
 func TestInversionsAreCounted(t *testing.T) {
 	refused := sending("confirm", 1, 100, "not_run", 0)
 	for name, tc := range map[string]struct {
-		other record.Sending
+		other record.Attempt
 		want  int
 	}{
 		"a lower tier waited and was served after": {sending("explain", 3, 50, "completed", 500), 1},
@@ -44,7 +44,7 @@
 		"it came later":                            {sending("explain", 3, 105, "completed", 500), 0},
 		"it is no lower tier":                      {sending("submit", 1, 50, "completed", 500), 0},
 	} {
-		if got := inversions([]record.Sending{refused, tc.other}); got != tc.want {
+		if got := inversions([]record.Attempt{refused, tc.other}); got != tc.want {
 			t.Errorf("%s: %d inversions, want %d", name, got, tc.want)
 		}
 	}
--- a/lab/bench/oracle.go
+++ b/lab/bench/oracle.go
@@ -87,7 +87,7 @@
 }
 
 // send decides on a request and sends it to its engine.
-func (o *oracle) send(ctx context.Context, r load.Request) record.Sending {
+func (o *oracle) send(ctx context.Context, r load.Request) record.Attempt {
 	begun := time.Now()
 	pool, cl := "llm", r.Arrival.Class
 	if cl.Service != "" {
@@ -97,8 +97,8 @@
 		Pool: pool, Request: r.Mark, Class: cl.Class, Team: r.Team.Name, PromptTokens: cl.PromptWords, MaxTokens: r.Tokens,
 	})
 	if grant.Refusal != "" {
-		return record.Sending{
-			Mark: r.Mark, Try: r.Try, Class: cl.Class, Tier: cl.Tier, Team: r.Team.Name, OutputAsked: r.Tokens,
+		return record.Attempt{
+			Mark: r.Mark, Try: r.Try, Class: cl.Class, Tier: cl.Tier, Team: r.Team.Name, OutputRequested: r.Tokens,
 			SentMs: begun.UnixMilli(), TotalMs: float64(time.Since(begun).Milliseconds()), Outcome: "not_run", Code: grant.Refusal, RetryAfter: grant.RetryAfterMs,
 		}
 	}
--- a/lab/bench/plot.go
+++ b/lab/bench/plot.go
@@ -61,7 +61,7 @@
 }
 
 // attainmentLines gives the share on time of the requests sent in each second.
-func attainmentLines(sent []record.Sending) map[string]plotter.XYs {
+func attainmentLines(sent []record.Attempt) map[string]plotter.XYs {
 	type count struct{ onTime, all float64 }
 	if len(sent) == 0 {
 		return nil
--- a/lab/check/check.go
+++ b/lab/check/check.go
@@ -27,14 +27,14 @@
 func (v Violation) String() string { return fmt.Sprintf("%s: %s: %s", v.Invariant, v.Mark, v.Detail) }
 
 // Run returns all violations, sorted by their text.
-func Run(sent []record.Sending, executed []record.Execution) []Violation {
+func Run(sent []record.Attempt, executed []record.Execution) []Violation {
 	starts := map[string][]record.Execution{}
 	for _, e := range executed {
 		if e.Event == "start" {
 			starts[e.Mark] = append(starts[e.Mark], e)
 		}
 	}
-	attempts := map[string][]record.Sending{}
+	attempts := map[string][]record.Attempt{}
 	for _, s := range sent {
 		attempts[s.Mark] = append(attempts[s.Mark], s)
 	}
@@ -51,7 +51,7 @@
 }
 
 // atMostOnce checks that a request with a key was executed at most once.
-func atMostOnce(mark string, sent []record.Sending, starts []record.Execution) []Violation {
+func atMostOnce(mark string, sent []record.Attempt, starts []record.Execution) []Violation {
 	if sent[0].Key == "" || len(starts) <= 1 {
 		return nil
 	}
@@ -60,7 +60,7 @@
 
 // notRun checks that no execution contradicts a refusal: neither of the refused attempt
 // itself, nor of the same key by an attempt sent before the refusal was received.
-func notRun(refused record.Sending, all []record.Sending, starts []record.Execution) []Violation {
+func notRun(refused record.Attempt, all []record.Attempt, starts []record.Execution) []Violation {
 	if refused.Outcome != "not_run" {
 		return nil
 	}
@@ -81,7 +81,7 @@
 
 // hasLaterWithoutID reports whether an attempt sent after a time got no request id, so that an
 // execution may belong to it.
-func hasLaterWithoutID(all []record.Sending, refusedAt int64) bool {
+func hasLaterWithoutID(all []record.Attempt, refusedAt int64) bool {
 	for _, s := range all {
 		if s.SentMs >= refusedAt && s.Request == "" {
 			return true
@@ -92,7 +92,7 @@
 
 // incompleteAnswer checks that a completed answer is its own, has no gap, and belongs to an
 // execution.
-func incompleteAnswer(s record.Sending, starts []record.Execution) []Violation {
+func incompleteAnswer(s record.Attempt, starts []record.Execution) []Violation {
 	switch {
 	case s.Outcome != "completed":
 		return nil
--- a/lab/check/check_test.go
+++ b/lab/check/check_test.go
@@ -13,22 +13,22 @@
 	start := func(request, backend string, at int64) record.Execution {
 		return record.Execution{Backend: backend, Request: request, Key: "k", Mark: "m", Event: "start", AtMs: at}
 	}
-	attempt := func(try int, outcome, request string, at int64) record.Sending {
-		return record.Sending{Mark: "m", Try: try, Key: "t/k", Outcome: outcome, Request: request, SentMs: at, TotalMs: 10}
+	attempt := func(try int, outcome, request string, at int64) record.Attempt {
+		return record.Attempt{Mark: "m", Try: try, Key: "t/k", Outcome: outcome, Request: request, SentMs: at, TotalMs: 10}
 	}
 	for _, tc := range []struct {
 		name     string
-		sent     []record.Sending
+		sent     []record.Attempt
 		executed []record.Execution
 		want     string
 	}{
-		{"no violation", []record.Sending{attempt(1, "completed", "r1", 0)}, []record.Execution{start("r1", "e1", 1)}, ""},
-		{"refused, then run by a later attempt", []record.Sending{attempt(1, "not_run", "r1", 0), attempt(2, "completed", "r2", 20)}, []record.Execution{start("r2", "e1", 25)}, ""},
-		{"run twice", []record.Sending{attempt(1, "unknown", "r1", 0), attempt(2, "completed", "r2", 20)}, []record.Execution{start("r1", "e1", 1), start("r2", "e2", 21)}, check.AtMostOnce},
-		{"refused but run", []record.Sending{attempt(1, "not_run", "r1", 0)}, []record.Execution{start("r1", "e1", 1)}, check.NotRun},
-		{"refused, but an earlier attempt runs later", []record.Sending{attempt(1, "error", "", 0), attempt(2, "not_run", "r2", 5)}, []record.Execution{start("r1", "e1", 50)}, check.NotRun},
-		{"answer of another request", []record.Sending{{Mark: "m", Outcome: "completed", Fault: "token 3 is another's"}}, []record.Execution{start("r1", "e1", 1)}, check.CompleteAnswers},
-		{"answer without an execution", []record.Sending{attempt(1, "completed", "r1", 0)}, nil, check.CompleteAnswers},
+		{"no violation", []record.Attempt{attempt(1, "completed", "r1", 0)}, []record.Execution{start("r1", "e1", 1)}, ""},
+		{"refused, then run by a later attempt", []record.Attempt{attempt(1, "not_run", "r1", 0), attempt(2, "completed", "r2", 20)}, []record.Execution{start("r2", "e1", 25)}, ""},
+		{"run twice", []record.Attempt{attempt(1, "unknown", "r1", 0), attempt(2, "completed", "r2", 20)}, []record.Execution{start("r1", "e1", 1), start("r2", "e2", 21)}, check.AtMostOnce},
+		{"refused but run", []record.Attempt{attempt(1, "not_run", "r1", 0)}, []record.Execution{start("r1", "e1", 1)}, check.NotRun},
+		{"refused, but an earlier attempt runs later", []record.Attempt{attempt(1, "error", "", 0), attempt(2, "not_run", "r2", 5)}, []record.Execution{start("r1", "e1", 50)}, check.NotRun},
+		{"answer of another request", []record.Attempt{{Mark: "m", Outcome: "completed", Fault: "token 3 is another's"}}, []record.Execution{start("r1", "e1", 1)}, check.CompleteAnswers},
+		{"answer without an execution", []record.Attempt{attempt(1, "completed", "r1", 0)}, nil, check.CompleteAnswers},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			got := check.Run(tc.sent, tc.executed)
--- a/lab/load/caller.go
+++ b/lab/load/caller.go
@@ -147,10 +147,10 @@
 
 // Send sends a request and checks the answer against what it must be. A node
 // that can't be connected to is passed over for the next entry point.
-func (c *Caller) Send(ctx context.Context, r Request) record.Sending {
-	s := record.Sending{
+func (c *Caller) Send(ctx context.Context, r Request) record.Attempt {
+	s := record.Attempt{
 		Mark: r.Mark, Try: r.Try, Key: r.Key, Class: r.Arrival.Class.Class, Tier: r.Arrival.Class.Tier, Team: r.Team.Name,
-		OutputAsked: r.Tokens, SentMs: record.NowMs(), Outcome: "error",
+		OutputRequested: r.Tokens, SentMs: record.NowMs(), Outcome: "error",
 	}
 	begun := time.Now()
 	if !r.Begun.IsZero() {
@@ -186,13 +186,13 @@
 }
 
 // sendTo sends a request to one node; false means that nothing was sent.
-func (c *Caller) sendTo(ctx context.Context, node string, r Request, s *record.Sending, begun time.Time) bool {
+func (c *Caller) sendTo(ctx context.Context, node string, r Request, s *record.Attempt, begun time.Time) bool {
 	req, err := r.build(ctx, node)
 	if err != nil {
 		s.Code = err.Error()
 		return true
 	}
-	s.GivenMs = msSince(begun)
+	s.NodeCalledMs = msSince(begun)
 	resp, err := c.http.Do(req)
 	if err != nil {
 		s.Code = err.Error()
@@ -214,7 +214,7 @@
 
 // sendWithTicket gets a ticket for a request that has a key, and sends it to the
 // node that issued the ticket. The time counts from before the ticket.
-func (c *Caller) sendWithTicket(ctx context.Context, r Request) record.Sending {
+func (c *Caller) sendWithTicket(ctx context.Context, r Request) record.Attempt {
 	if r.Key == "" {
 		return c.Send(ctx, r)
 	}
@@ -225,7 +225,7 @@
 		r.Key, err = c.Ticket(ctx, r.Node, r.Team)
 	}
 	if err != nil {
-		return record.Sending{Mark: r.Mark, Try: r.Try, Class: r.Arrival.Class.Class, Team: r.Team.Name, Outcome: "error", Code: err.Error()}
+		return record.Attempt{Mark: r.Mark, Try: r.Try, Class: r.Arrival.Class.Class, Team: r.Team.Name, Outcome: "error", Code: err.Error()}
 	}
 	return c.Send(ctx, r)
 }
@@ -284,7 +284,7 @@
 }
 
 // readRefusal reads an answer that is not 200.
-func readRefusal(resp *http.Response, s *record.Sending) {
+func readRefusal(resp *http.Response, s *record.Attempt) {
 	var doc struct {
 		Error struct {
 			Code    string `json:"code"`
@@ -300,7 +300,7 @@
 }
 
 // readStream reads a stream and checks each token.
-func readStream(body io.Reader, r Request, s *record.Sending, begun time.Time) {
+func readStream(body io.Reader, r Request, s *record.Attempt, begun time.Time) {
 	lines := bufio.NewScanner(body)
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
@@ -347,14 +347,14 @@
 }
 
 // checkTokens checks the length of a whole answer.
-func checkTokens(r Request, s *record.Sending) {
+func checkTokens(r Request, s *record.Attempt) {
 	if s.Tokens != r.Tokens && s.Fault == "" {
 		s.Fault = fmt.Sprintf("%d tokens, want %d", s.Tokens, r.Tokens)
 	}
 }
 
 // readPlain reads and checks the answer of a plain call.
-func readPlain(body io.Reader, r Request, s *record.Sending, begun time.Time) {
+func readPlain(body io.Reader, r Request, s *record.Attempt, begun time.Time) {
 	text, err := io.ReadAll(body)
 	if err != nil {
 		s.Code = "answer cut short"
--- a/lab/load/run.go
+++ b/lab/load/run.go
@@ -20,7 +20,7 @@
 		Nodes []string
 		Log   *record.Log
 		// Send sends one request; nil means to send it to the nodes.
-		Send    func(ctx context.Context, r Request) record.Sending
+		Send    func(ctx context.Context, r Request) record.Attempt
 		Tickets bool // Tickets makes requests with a key ask for a ticket first.
 		Retries int  // Retries is how often a refused request is sent again, at the time it was told.
 	}
@@ -49,7 +49,7 @@
 		Classes []ClassReport     `json:"classes"`
 		Goodput float64           `json:"goodput"` // Goodput is tokens of whole answers a second.
 		Teams   map[string][2]int `json:"teams"`   // Teams gives completed and sent requests.
-		Sent    []record.Sending  `json:"-"`
+		Sent    []record.Attempt  `json:"-"`
 	}
 )
 
@@ -65,7 +65,7 @@
 	}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	var sent []record.Sending
+	var sent []record.Attempt
 	begun := time.Now()
 	for _, a := range trace {
 		if wait := a.At - time.Since(begun); wait > 0 {
@@ -89,8 +89,8 @@
 }
 
 // sendAll sends one request, and again as the options allow.
-func sendAll(ctx context.Context, a Arrival, opts Options) []record.Sending {
-	var out []record.Sending
+func sendAll(ctx context.Context, a Arrival, opts Options) []record.Attempt {
+	var out []record.Attempt
 	r := Request{Arrival: a}
 	if a.Class.Once {
 		r.Key = "key-" + a.Mark
@@ -107,8 +107,8 @@
 }
 
 // Summarize counts sendings by class; of a request's tries the last one counts.
-func Summarize(sent []record.Sending, took time.Duration) *Report {
-	last := map[string]record.Sending{}
+func Summarize(sent []record.Attempt, took time.Duration) *Report {
+	last := map[string]record.Attempt{}
 	for _, s := range sent {
 		if have, ok := last[s.Mark]; !ok || s.Try > have.Try {
 			last[s.Mark] = s
@@ -145,7 +145,7 @@
 }
 
 // newClassCount returns an empty count.
-func newClassCount(s record.Sending) *classCount {
+func newClassCount(s record.Attempt) *classCount {
 	const longest = 10 * 60 * 1000
 	return &classCount{
 		ClassReport: ClassReport{Class: s.Class, Tier: s.Tier},
@@ -154,7 +154,7 @@
 }
 
 // add counts one request.
-func (c *classCount) add(s record.Sending) {
+func (c *classCount) add(s record.Attempt) {
 	c.Requests++
 	if s.OnTime {
 		c.OnTime++
--- a/lab/proofs/proofs_test.go
+++ b/lab/proofs/proofs_test.go
@@ -50,7 +50,7 @@
 	wg     sync.WaitGroup
 
 	mu   sync.Mutex
-	sent []record.Sending
+	sent []record.Attempt
 }
 
 // start starts a cluster; the test's end closes it.
@@ -81,7 +81,7 @@
 }
 
 // keep records a sending.
-func (r *rig) keep(s record.Sending) {
+func (r *rig) keep(s record.Attempt) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.sent = append(r.sent, s)
--- a/lab/proofs/tiers_test.go
+++ b/lab/proofs/tiers_test.go
@@ -59,7 +59,7 @@
 
 // holds reports whether a request was in a process that stood still at a moment, or had only
 // just gone on, so that no node could refuse it for the sake of another's request.
-func (st *standstill) holds(s record.Sending, at float64) bool {
+func (st *standstill) holds(s record.Attempt, at float64) bool {
 	return st != nil && s.Node == st.node.Caller && at < float64(st.until+rejoin.Milliseconds())
 }
 
@@ -78,11 +78,11 @@
 }
 
 // givenAt returns when a node was called with a request, in milliseconds of the records.
-func givenAt(s record.Sending) float64 { return float64(s.SentMs) + s.GivenMs }
+func givenAt(s record.Attempt) float64 { return float64(s.SentMs) + s.NodeCalledMs }
 
 // tellWhy logs the steps of a request that was shed and of those that waited on.
-func (r *rig) tellWhy(shed record.Sending, lower []record.Sending) {
-	for _, s := range append([]record.Sending{shed}, lower...) {
+func (r *rig) tellWhy(shed record.Attempt, lower []record.Attempt) {
+	for _, s := range append([]record.Attempt{shed}, lower...) {
 		got, err := r.Statement(context.Background(), r.alive(0), "explain "+s.Request, "")
 		if err != nil {
 			r.t.Logf("why %s at %s: %v", s.Mark, s.Node, err)
@@ -125,7 +125,7 @@
 		at := float64(s.SentMs) + s.TotalMs
 		kept := map[string]int{}
 		var where []string
-		var lower []record.Sending
+		var lower []record.Attempt
 		for _, o := range r.sent {
 			waited := givenAt(o) < givenAt(s)-50 && float64(o.SentMs)+o.FirstMs > at+200
 			if o.Outcome == "completed" && o.Tier > s.Tier && waited && !frozen.holds(o, at) {
--- a/lab/record/record.go
+++ b/lab/record/record.go
@@ -27,27 +27,27 @@
 		AtMs    int64  `json:"at_ms"`
 	}
 
-	// Sending is one line of the load tool's log: one request and its answer.
-	Sending struct {
-		Mark        string  `json:"mark"`
-		Try         int     `json:"try"`
-		Key         string  `json:"key,omitempty"`
-		Class       string  `json:"class"`
-		Tier        int     `json:"tier"`
-		Team        string  `json:"team"`
-		Node        string  `json:"node"`
-		Outcome     string  `json:"outcome"` // Outcome is completed, not_run, unknown or error.
-		Code        string  `json:"code,omitempty"`
-		Request     string  `json:"request,omitempty"` // Request is the router's id.
-		Fault       string  `json:"fault,omitempty"`   // Fault is what is wrong with a completed answer.
-		Tokens      int     `json:"tokens,omitempty"`
-		SentMs      int64   `json:"sent_ms"`
-		GivenMs     float64 `json:"given_ms,omitempty"` // GivenMs is from sending to when the node was called: the caller may have to find one first.
-		FirstMs     float64 `json:"first_ms,omitempty"` // FirstMs is from sending to the first token.
-		TotalMs     float64 `json:"total_ms"`
-		RetryAfter  int     `json:"retry_after_ms,omitempty"`
-		OnTime      bool    `json:"on_time"`
-		OutputAsked int     `json:"output_asked,omitempty"`
+	// Attempt is one line of the load tool's log: one request and its answer.
+	Attempt struct {
+		Mark            string  `json:"mark"`
+		Try             int     `json:"try"`
+		Key             string  `json:"key,omitempty"`
+		Class           string  `json:"class"`
+		Tier            int     `json:"tier"`
+		Team            string  `json:"team"`
+		Node            string  `json:"node"`
+		Outcome         string  `json:"outcome"` // Outcome is completed, not_run, unknown or error.
+		Code            string  `json:"code,omitempty"`
+		Request         string  `json:"request,omitempty"` // Request is the router's id.
+		Fault           string  `json:"fault,omitempty"`   // Fault is what is wrong with a completed answer.
+		Tokens          int     `json:"tokens,omitempty"`
+		SentMs          int64   `json:"sent_ms"`
+		NodeCalledMs    float64 `json:"given_ms,omitempty"` // GivenMs is from sending to when the node was called: the caller may have to find one first.
+		FirstMs         float64 `json:"first_ms,omitempty"` // FirstMs is from sending to the first token.
+		TotalMs         float64 `json:"total_ms"`
+		RetryAfter      int     `json:"retry_after_ms,omitempty"`
+		OnTime          bool    `json:"on_time"`
+		OutputRequested int     `json:"output_asked,omitempty"`
 	}
 
 	// Log appends lines to a file.
@@ -129,8 +129,8 @@
 
 // ParsePrompt takes mark and length out of a prompt.
 func ParsePrompt(text string) (mark string, tokens int) {
-	const unmarked = 32
-	tokens = unmarked
+	const defaultTokens = 32
+	tokens = defaultTokens
 	for _, f := range strings.Fields(text) {
 		if v, ok := strings.CutPrefix(f, "mark="); ok {
 			mark = v
--- a/lab/slopes/slopes.go
+++ b/lab/slopes/slopes.go
@@ -305,7 +305,7 @@
 			DurationMs: int(d.Milliseconds()), Teams: []load.Team{{Name: "alfa", Token: "alfa-token", Share: 1}},
 			Classes: []load.ClassLoad{{Class: "explain", Tier: 3, Model: "desk-1", Rate: rate, Tokens: 4}},
 		}
-		load.Run(ctx, w.Trace(1), load.Options{Log: &record.Log{}, Send: func(ctx context.Context, r load.Request) record.Sending {
+		load.Run(ctx, w.Trace(1), load.Options{Log: &record.Log{}, Send: func(ctx context.Context, r load.Request) record.Attempt {
 			r.Node = node.Caller
 			return caller.Send(ctx, r)
 		}})
