--- a/lab/record/record.go
+++ b/lab/record/record.go
@@ -1,5 +1,5 @@
-// Package record holds what the stand-ins and the load tool write down of each
-// request, from which the checker finds its verdicts.
+// Package record defines the logs that fake backends and the load generator write for each
+// request, which package check evaluates.
 package record
 
 import (
@@ -16,18 +16,18 @@
 )
 
 type (
-	// Execution is one line of a stand-in's log: a request began or ended there.
+	// Execution is one line of a fake backend's log: a request started or ended there.
 	Execution struct {
 		Backend string `json:"backend"`
-		Request string `json:"request"` // Request is the router's id.
+		Request string `json:"request"` // Request is the id that the router assigned.
 		Key     string `json:"key,omitempty"`
-		Mark    string `json:"mark"`  // Mark is the caller's own mark, taken from the body.
+		Mark    string `json:"mark"`  // Mark is the caller's own id of the request, taken from the body.
 		Event   string `json:"event"` // Event is start, end or cancel.
 		Tokens  int    `json:"tokens,omitempty"`
 		AtMs    int64  `json:"at_ms"`
 	}
 
-	// Attempt is one line of the load tool's log: one request and its answer.
+	// Attempt is one line of the load generator's log: one request and its answer.
 	Attempt struct {
 		Mark            string  `json:"mark"`
 		Try             int     `json:"try"`
@@ -38,11 +38,11 @@
 		Node            string  `json:"node"`
 		Outcome         string  `json:"outcome"` // Outcome is completed, not_run, unknown or error.
 		Code            string  `json:"code,omitempty"`
-		Request         string  `json:"request,omitempty"` // Request is the router's id.
+		Request         string  `json:"request,omitempty"` // Request is the id that the router assigned.
 		Fault           string  `json:"fault,omitempty"`   // Fault is what is wrong with a completed answer.
 		Tokens          int     `json:"tokens,omitempty"`
 		SentMs          int64   `json:"sent_ms"`
-		NodeCalledMs    float64 `json:"given_ms,omitempty"` // GivenMs is from sending to when the node was called: the caller may have to find one first.
+		NodeCalledMs    float64 `json:"given_ms,omitempty"` // NodeCalledMs is from sending to the call of the node, which includes the search for a node.
 		FirstMs         float64 `json:"first_ms,omitempty"` // FirstMs is from sending to the first token.
 		TotalMs         float64 `json:"total_ms"`
 		RetryAfter      int     `json:"retry_after_ms,omitempty"`
@@ -50,14 +50,14 @@
 		OutputRequested int     `json:"output_asked,omitempty"`
 	}
 
-	// Log appends lines to a file.
+	// Log appends JSON lines to a file.
 	Log struct {
 		mu sync.Mutex
 		f  *os.File
 	}
 )
 
-// OpenLog opens a log for appending; an empty path gives one that drops all.
+// OpenLog opens a log for appending; with an empty path it discards all lines.
 func OpenLog(path string) (*Log, error) {
 	if path == "" {
 		return &Log{}, nil
@@ -69,15 +69,15 @@
 	return &Log{f: f}, nil
 }
 
-// Write appends one line; it reaches the file before Write returns, so that a
-// killed process loses none.
+// Write appends one line; it is written to the file before Write returns, so that a killed
+// process loses none.
 func (l *Log) Write(line any) {
 	if l.f == nil {
 		return
 	}
 	text, err := json.Marshal(line)
 	if err != nil {
-		panic(fmt.Sprintf("record: a line is always JSON: %v", err))
+		panic(fmt.Sprintf("record: encode line: %v", err))
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -106,8 +106,8 @@
 	return out, lines.Err()
 }
 
-// Word returns token i of the answer to a mark. An answer is a function of its
-// request, so that another's answer or a hole in it shows.
+// Word returns token i of the answer to a mark. It depends only on these, so that a wrong or
+// incomplete answer can be detected.
 func Word(mark string, i int) string {
 	return strconv.FormatUint(xxhash.Sum64String(mark+"/"+strconv.Itoa(i))&0xffffff, 36) + " "
 }
@@ -121,13 +121,13 @@
 	return b.String()
 }
 
-// Prompt returns the text by which the load tool tells a stand-in engine its
-// mark and how long an answer it wants; filler makes up the prompt's length.
+// Prompt returns a prompt that tells a fake engine its mark and the number of tokens to answer
+// with; filler is the number of words that pad it.
 func Prompt(mark string, tokens, filler int) string {
 	return fmt.Sprintf("mark=%s tokens=%d %s", mark, tokens, strings.Repeat("word ", filler))
 }
 
-// ParsePrompt takes mark and length out of a prompt.
+// ParsePrompt returns the mark and the number of answer tokens of a prompt.
 func ParsePrompt(text string) (mark string, tokens int) {
 	const defaultTokens = 32
 	tokens = defaultTokens
