--- a/lab/relay/relay.go
+++ b/lab/relay/relay.go
@@ -1,5 +1,5 @@
-// Package relay is a TCP relay for tests that can drop, reset, delay and half-open the
-// connections between two processes, both ways or one way.
+// Package relay is a TCP relay for tests that can drop, reset, delay or half-open the
+// connections between two processes, in both directions or in one.
 package relay
 
 import (
@@ -9,21 +9,21 @@
 	"time"
 )
 
-// Mode is what a relay does with what it receives.
+// Mode is how a relay treats the data that it receives.
 type Mode int
 
 // Modes of a relay.
 const (
-	Pass     Mode = iota // Pass hands everything on.
-	Hold                 // Hold takes bytes and hands nothing on, as a half-open connection does.
-	HoldBack             // HoldBack hands on to the target, and nothing back, as a cut one way does.
-	Cut                  // Cut drops all connections and refuses new ones.
-	Reset                // Reset drops all connections once so that both ends see a reset, and hands on what comes later.
-	Delay                // Delay hands on late: everything, or as DelaySome says.
-	Refuse               // Refuse drops all connections, and nothing listens until the next mode, as where a process has ended.
+	Pass          Mode = iota // Pass forwards everything.
+	Hold                      // Hold reads data and forwards none, as on a half-open connection.
+	HoldResponses             // HoldResponses forwards data to the target only, as on a one-way partition.
+	Cut                       // Cut closes all connections and every new one.
+	Reset                     // Reset resets all connections once, on both ends, and then forwards as Pass does.
+	Delay                     // Delay forwards after a delay: everything, or the share set by DelaySome.
+	Refuse                    // Refuse closes all connections and the listener until the next mode, as when a process has exited.
 )
 
-// Relay hands connections on to a target.
+// Relay forwards connections to a target.
 type Relay struct {
 	address string
 	target  string
@@ -33,14 +33,14 @@
 	mu       sync.Mutex
 	listener net.Listener
 	mode     Mode
-	rand     *rand.Rand // rand draws what is delayed; nil for everything.
+	rand     *rand.Rand // rand selects which data is delayed; nil for all.
 	share    float64
 	changed  *sync.Cond
 	conns    map[net.Conn]bool
 	closed   bool
 }
 
-// New returns a relay to a target, on an address of its own.
+// New returns a relay to a target, listening on its own address.
 func New(target string, delay time.Duration) (*Relay, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -53,7 +53,7 @@
 	return r, nil
 }
 
-// Address returns where the relay listens.
+// Address returns the address that the relay listens on.
 func (r *Relay) Address() string { return r.address }
 
 // Set changes the mode.
@@ -76,7 +76,8 @@
 	r.changed.Broadcast()
 }
 
-// listen listens again; the caller holds the lock. Where the address is taken meanwhile, nothing is handed on any more.
+// listen listens again; the caller holds the lock. If the address is taken meanwhile, the
+// relay forwards nothing any more.
 func (r *Relay) listen() {
 	l, err := net.Listen("tcp", r.address)
 	if err != nil || r.closed {
@@ -87,7 +88,7 @@
 	go r.accept(l)
 }
 
-// DelaySome delays a share of what is received, drawn with a seed.
+// DelaySome delays a random share of the data, drawn with a seed.
 func (r *Relay) DelaySome(seed uint64, share float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -105,14 +106,14 @@
 func (r *Relay) resetAll() {
 	for c := range r.conns {
 		if tcp, ok := c.(*net.TCPConn); ok {
-			// Where the linger can't be set, the connection ends in order; that is a fault too.
+			// If linger can't be set, the connection closes normally, which is a fault as well.
 			_ = tcp.SetLinger(0)
 		}
 	}
 	r.dropAll()
 }
 
-// Close ends the relay and waits for its goroutines.
+// Close closes the relay and waits for its goroutines.
 func (r *Relay) Close() {
 	r.mu.Lock()
 	r.closed = true
@@ -123,7 +124,7 @@
 	r.wg.Wait()
 }
 
-// accept takes connections.
+// accept accepts connections and starts forwarding them.
 func (r *Relay) accept(l net.Listener) {
 	defer r.wg.Done()
 	for {
@@ -145,7 +146,8 @@
 	}
 }
 
-// add keeps a pair of connections, unless the relay is cut or closed.
+// add registers a pair of connections; it returns false if the relay is cut, refusing or
+// closed.
 func (r *Relay) add(conns ...net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -158,15 +160,15 @@
 	return true
 }
 
-// copy hands bytes on as the mode says; back tells the way from the target.
-func (r *Relay) copy(from, to net.Conn, back bool) {
+// copy forwards data as the mode requires; fromTarget is the direction from the target.
+func (r *Relay) copy(from, to net.Conn, fromTarget bool) {
 	defer r.wg.Done()
 	defer r.drop(from, to)
 	const size = 32 << 10
 	buf := make([]byte, size)
 	for {
 		n, err := from.Read(buf)
-		if err != nil || !r.pass(back) {
+		if err != nil || !r.waitToForward(fromTarget) {
 			return
 		}
 		if _, err := to.Write(buf[:n]); err != nil {
@@ -175,7 +177,7 @@
 	}
 }
 
-// drop closes a pair of connections and forgets them.
+// drop closes and unregisters a pair of connections.
 func (r *Relay) drop(conns ...net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -185,16 +187,16 @@
 	}
 }
 
-// holds reports whether the mode hands nothing on in a direction; the caller holds the lock.
-func (r *Relay) holds(back bool) bool {
-	return r.mode == Hold || r.mode == HoldBack && back
+// holds reports whether the mode forwards nothing in a direction; the caller holds the lock.
+func (r *Relay) holds(fromTarget bool) bool {
+	return r.mode == Hold || r.mode == HoldResponses && fromTarget
 }
 
-// pass waits as the mode says and returns whether to hand on.
-func (r *Relay) pass(back bool) bool {
+// waitToForward waits as the mode requires and reports whether to forward the data.
+func (r *Relay) waitToForward(fromTarget bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for r.holds(back) && !r.closed {
+	for r.holds(fromTarget) && !r.closed {
 		r.changed.Wait()
 	}
 	if r.mode == Delay && (r.rand == nil || r.rand.Float64() < r.share) {
