--- a/internal/feed/bundle.go
+++ b/internal/feed/bundle.go
@@ -76,5 +76,5 @@
 	return decompressRows(rows)
 }
 
-// payloadSize returns the payloadSize of a reply's values in bytes, without its names.
+// payloadSize returns the size of a reply's values, in bytes, without the names.
 func (r *TableReply) payloadSize() int { return payloadSize(r.Rows) + len(r.Bundle) }
