--- a/internal/front/answer.go
+++ b/internal/front/answer.go
@@ -78,17 +78,17 @@
 	return "invalid_request_error"
 }
 
-// extend gives the caller time for the next write, so that one who takes nothing
-// does not hold its place on an engine for good.
-func (f *Front) extend(w http.ResponseWriter) {
+// extendWriteDeadline sets the deadline for the next write, so that a caller which
+// stops reading does not occupy its slot on an engine forever.
+func (f *Front) extendWriteDeadline(w http.ResponseWriter) {
 	if err := http.NewResponseController(w).SetWriteDeadline(time.Now().Add(f.limits.WriteTimeout)); err != nil {
-		f.tele.Log.Debug("no write deadline", "error", err.Error())
+		f.tele.Log.Debug("failed to set the write deadline", "error", err.Error())
 	}
 }
 
 // fail writes an error response.
 func (f *Front) fail(w http.ResponseWriter, id string, e *CallerError) {
-	f.extend(w)
+	f.extendWriteDeadline(w)
 	if err := e.write(w, id); err != nil {
 		f.tele.Log.Debug("failed to write the error response", "request", id, "error", err.Error())
 	}
@@ -115,7 +115,7 @@
 
 // replay writes a response from an outcome recorded here or at another node.
 func (f *Front) replay(w http.ResponseWriter, id string, o wire.Outcome) {
-	f.extend(w)
+	f.extendWriteDeadline(w)
 	retry := time.Duration(o.RetryAfterMs) * time.Millisecond
 	switch {
 	case o.State == wire.OutcomeStateDone || (o.Status != 0 && len(o.Body) > 0):
--- a/internal/front/chat.go
+++ b/internal/front/chat.go
@@ -62,7 +62,7 @@
 
 // writeJSON writes a JSON response.
 func (f *Front) writeJSON(w http.ResponseWriter, doc any) {
-	f.extend(w)
+	f.extendWriteDeadline(w)
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(doc); err != nil {
 		f.tele.Log.Debug("failed to write the response", "error", err.Error())
@@ -240,7 +240,7 @@
 		h.Set("Trailer", HeaderOutcome)
 		w.WriteHeader(http.StatusOK)
 	}
-	x.f.extend(w)
+	x.f.extendWriteDeadline(w)
 	line := make([]byte, 0, len(data)+8)
 	line = append(line, "data: "...)
 	line = append(line, data...)
--- a/internal/front/completions_test.go
+++ b/internal/front/completions_test.go
@@ -145,8 +145,8 @@
 	}
 }
 
-// TestCompletionThatBreaksOff checks that an aborted response is visibly incomplete.
-func TestCompletionThatBreaksOff(t *testing.T) {
+// TestAbortedCompletion checks that an aborted response is visibly incomplete.
+func TestAbortedCompletion(t *testing.T) {
 	d := &fakeDispatcher{serve: func(a dispatch.AnswerWriter) {
 		a.Begin(&dispatch.Response{Status: 200, Header: http.Header{}, Length: -1})
 		if err := a.Write([]byte("data: 1\n\n")); err != nil {
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestWholeAnswerInBothShapes(t *testing.T) {
+func TestStreamingAndJSONResponses(t *testing.T) {
 	r := newTestServer(t, streams("one ", "two"))
 	resp, body := r.send(t, "/v1/chat/completions", hello)
 	if text(body) != "one two" || !strings.HasSuffix(body, "data: [DONE]\n\n") || resp.Trailer.Get(front.HeaderOutcome) != front.OutcomeCompleted {
@@ -83,9 +83,9 @@
 	}
 }
 
-// TestBrokenStreamGoesOnElsewhere checks that another engine continues an
+// TestInterruptedStreamResumesOnAnotherEngine checks that another engine continues an
 // interrupted repeatable response from the text received so far.
-func TestBrokenStreamGoesOnElsewhere(t *testing.T) {
+func TestInterruptedStreamResumesOnAnotherEngine(t *testing.T) {
 	var second string
 	r := newTestServer(t, streamsThenAborts("one ", "two "), func(w http.ResponseWriter, req *http.Request) {
 		body, _ := io.ReadAll(req.Body)
@@ -130,7 +130,7 @@
 	}
 }
 
-func TestMalformedEventBreaksOff(t *testing.T) {
+func TestMalformedEventAbortsStream(t *testing.T) {
 	bad := func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, event("one "), "data: {\"cho\n\n") }
 	r := newTestServer(t, bad)
 	_, body := r.send(t, "/v1/chat/completions", hello)
@@ -165,9 +165,9 @@
 	}
 }
 
-// TestConnectionIsGoodForAnotherRequest checks that the write deadline of one
+// TestConnectionIsReusable checks that the write deadline of one
 // response does not cut off the next response on the same connection.
-func TestConnectionIsGoodForAnotherRequest(t *testing.T) {
+func TestConnectionIsReusable(t *testing.T) {
 	r := newTestServer(t, streams("one"))
 	conn, err := net.Dial("tcp", strings.TrimPrefix(r.url, "http://"))
 	if err != nil {
--- a/internal/front/once_test.go
+++ b/internal/front/once_test.go
@@ -43,9 +43,9 @@
 	}
 }
 
-// TestRefusalIsMadeCertain checks that not_run is reported for a key only once no
+// TestNotRunIsFinal checks that not_run is reported for a key only once no
 // earlier attempt can claim it any more, and that a new attempt may run.
-func TestRefusalIsMadeCertain(t *testing.T) {
+func TestNotRunIsFinal(t *testing.T) {
 	r := newTestServer(t, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "accepted") })
 	stale := claim.NewClaimer(r.table, "n2", 1, time.Millisecond)
 	defer stale.Close()
@@ -90,9 +90,9 @@
 	}
 }
 
-// TestRefusedTicketIsUsedUp checks that a late duplicate does not run a ticket that
+// TestRefusedTicketCannotBeReused checks that a late duplicate does not run a ticket that
 // was reported as not_run.
-func TestRefusedTicketIsUsedUp(t *testing.T) {
+func TestRefusedTicketCannotBeReused(t *testing.T) {
 	runs := 0
 	r := newTestServer(t, func(w http.ResponseWriter, _ *http.Request) {
 		runs++
--- a/internal/front/service.go
+++ b/internal/front/service.go
@@ -72,7 +72,7 @@
 	for {
 		n, err := resp.Body.Read(buf)
 		if n > 0 {
-			x.f.extend(w)
+			x.f.extendWriteDeadline(w)
 			if _, werr := w.Write(buf[:n]); werr != nil {
 				return fmt.Errorf("%w: %w", errCallerGone, werr)
 			}
@@ -93,7 +93,7 @@
 	if err != nil {
 		return fmt.Errorf("read answer: %w: %w", engine.ErrBroken, err)
 	}
-	x.f.extend(w)
+	x.f.extendWriteDeadline(w)
 	x.copyHeader(w, resp)
 	if _, err := w.Write(body); err != nil {
 		return fmt.Errorf("%w: %w", errCallerGone, err)
--- a/internal/front/start_test.go
+++ b/internal/front/start_test.go
@@ -17,9 +17,9 @@
 
 func (v *delayedViews) View() *config.View { return v.view.Load() }
 
-// TestRequestAtANodeThatStarts checks that a request to a node without configuration
+// TestRequestAtStartingNode checks that a request to a node without configuration
 // waits for one, and is refused as not_run if none arrives in time.
-func TestRequestAtANodeThatStarts(t *testing.T) {
+func TestRequestAtStartingNode(t *testing.T) {
 	view, err := config.NewView(&config.Config{
 		Classes: []config.Class{{Name: "explain", Tier: 3}},
 		Teams:   []config.Team{{Name: "alfa", TokenSha256: config.HashToken(token), DefaultClass: "explain"}},
--- a/internal/logline/logline_test.go
+++ b/internal/logline/logline_test.go
@@ -23,9 +23,9 @@
 	return b.text.Write(p)
 }
 
-// TestBlockedOutputHoldsNobodyUp checks that lines are dropped and counted instead of
+// TestBlockedOutputDropsLines checks that lines are dropped and counted instead of
 // blocking, and that the count is logged once the output accepts lines again.
-func TestBlockedOutputHoldsNobodyUp(t *testing.T) {
+func TestBlockedOutputDropsLines(t *testing.T) {
 	out := &blocked{open: make(chan struct{})}
 	w := logline.New(out)
 	for range 5000 {
--- a/internal/testport/testport_test.go
+++ b/internal/testport/testport_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// TestProcessesHaveBlocksOfTheirOwn checks that two processes whose ids map to the same block
+// TestProcessesUseSeparateBlocks checks that two processes whose ids map to the same block
 // don't share it. When they did, a node exited because its port was taken, or it talked to
 // the other process's engine.
-func TestProcessesHaveBlocksOfTheirOwn(t *testing.T) {
+func TestProcessesUseSeparateBlocks(t *testing.T) {
 	var a, b portBlock // They simulate two processes with the same process id.
 	seen := map[string]bool{}
 	for range 2 * portsPerBlock {
