--- a/internal/sched/pulse.go
+++ b/internal/sched/pulse.go
@@ -13,107 +13,109 @@
 )
 
 const (
-	// pulseEvery is how often a broker at which requests wait is called.
-	pulseEvery = 250 * time.Millisecond
+	// pingInterval is how often a broker at which requests wait is pinged.
+	pingInterval = 250 * time.Millisecond
 
-	// forgetAfter is how long a deaf broker at which nothing waits is called: by
-	// then the membership knows that it is dead, or that it is another process.
-	forgetAfter = 30 * time.Second
+	// forgetAfterLoss is how long an unresponsive broker at which nothing waits is
+	// pinged: by then the membership knows that it is dead or was restarted.
+	forgetAfterLoss = 30 * time.Second
 
-	// pulseTimeout is how long it has to answer.
-	pulseTimeout = 700 * time.Millisecond
+	// pingTimeout bounds one ping.
+	pingTimeout = 700 * time.Millisecond
 )
 
-// errDeaf says that a broker takes calls and does not answer, as over a
-// half-open connection that the membership can't see.
-var errDeaf = errors.New("sched: the broker does not answer")
+// errUnresponsive means that a broker does not answer, for example over a
+// half-open connection that the membership can't detect.
+var errUnresponsive = errors.New("sched: the broker does not answer")
 
 type (
-	// pulse watches the brokers at which requests of this node wait.
-	pulse struct {
+	// brokerMonitor pings the brokers at which requests of this node wait.
+	brokerMonitor struct {
 		peers Peers
 
 		mu    sync.Mutex
-		lines map[string]*line
+		conns map[string]*brokerConn
 	}
 
-	// line is what is known of the way to one process.
-	line struct {
-		owner  wire.Member
-		asking int
-		deaf   bool
-		lostAt time.Time     // lostAt is when it turned deaf.
-		broken chan struct{} // broken is closed when the process turns deaf.
+	// brokerConn is the state of the connection to one broker process.
+	brokerConn struct {
+		owner        wire.Member
+		pendingAsks  int
+		unresponsive bool
+		lostAt       time.Time     // lostAt is when it became unresponsive.
+		lost         chan struct{} // lost is closed when the broker becomes unresponsive.
 	}
 )
 
-// newPulse returns a pulse that watches nobody.
-func newPulse(peers Peers) *pulse { return &pulse{peers: peers, lines: map[string]*line{}} }
-
-// begin notes that a request asks a broker, and returns a channel that is closed
-// when the broker turns deaf. It fails where it is deaf already.
-func (p *pulse) begin(owner wire.Member) (<-chan struct{}, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	l := p.line(owner)
-	if l.deaf {
-		return nil, errDeaf
+// newBrokerMonitor returns a monitor without brokers.
+func newBrokerMonitor(peers Peers) *brokerMonitor {
+	return &brokerMonitor{peers: peers, conns: map[string]*brokerConn{}}
+}
+
+// beginAsk records that a request asks a broker, and returns a channel that is closed
+// when the broker becomes unresponsive. It fails if the broker is unresponsive already.
+func (m *brokerMonitor) beginAsk(owner wire.Member) (<-chan struct{}, error) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	c := m.conn(owner)
+	if c.unresponsive {
+		return nil, errUnresponsive
 	}
-	l.asking++
-	return l.broken, nil
+	c.pendingAsks++
+	return c.lost, nil
 }
 
-// line returns what is known of the way to a process; the caller holds the lock.
-func (p *pulse) line(owner wire.Member) *line {
+// conn returns the state of a broker process, creating it if needed; the caller holds the lock.
+func (m *brokerMonitor) conn(owner wire.Member) *brokerConn {
 	id := processID(owner)
-	l := p.lines[id]
-	if l == nil {
-		l = &line{owner: owner, broken: make(chan struct{})}
-		p.lines[id] = l
+	c := m.conns[id]
+	if c == nil {
+		c = &brokerConn{owner: owner, lost: make(chan struct{})}
+		m.conns[id] = c
 	}
-	return l
+	return c
 }
 
-// turnDeaf notes that a process that answered does not any more.
-func (l *line) turnDeaf(now time.Time) {
-	l.deaf, l.lostAt = true, now
-	close(l.broken)
+// markUnresponsive records that a broker has stopped answering.
+func (c *brokerConn) markUnresponsive(now time.Time) {
+	c.unresponsive, c.lostAt = true, now
+	close(c.lost)
 }
 
-// end notes that a request asks no more.
-func (p *pulse) end(owner wire.Member) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.lines[processID(owner)].asking--
+// endAsk records that a request no longer asks a broker.
+func (m *brokerMonitor) endAsk(owner wire.Member) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.conns[processID(owner)].pendingAsks--
 }
 
-// lose notes that a broker could not be reached, so that it is called until it
+// markUnreachable records that a broker could not be reached, so that it is pinged until it
 // answers.
-func (p *pulse) lose(owner wire.Member) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	l := p.line(owner)
-	if !l.deaf {
-		l.turnDeaf(clock.Now())
+func (m *brokerMonitor) markUnreachable(owner wire.Member) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	c := m.conn(owner)
+	if !c.unresponsive {
+		c.markUnresponsive(clock.Now())
 	}
 }
 
-// lost reports whether a broker was lost and has not answered since.
-func (p *pulse) lost(owner wire.Member) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	l := p.lines[processID(owner)]
-	return l != nil && l.deaf
+// isUnresponsive reports whether a broker was lost and has not answered since.
+func (m *brokerMonitor) isUnresponsive(owner wire.Member) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	c := m.conns[processID(owner)]
+	return c != nil && c.unresponsive
 }
 
-// processID names one incarnation of a node.
+// processID returns an id of one incarnation of a node.
 func processID(m wire.Member) string { return fmt.Sprint(m.Name, "/", m.Incarnation) }
 
-// run calls the watched brokers until the context ends.
-func (p *pulse) run(ctx context.Context) {
+// run pings the brokers until the context ends.
+func (m *brokerMonitor) run(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	tick := time.NewTicker(pulseEvery)
+	tick := time.NewTicker(pingInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -121,51 +123,51 @@
 			return
 		case <-tick.C:
 		}
-		for _, l := range p.watched(clock.Now()) {
+		for _, c := range m.connsToPing(clock.Now()) {
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				p.set(l, p.answers(ctx, l.owner))
+				m.recordPing(c, m.ping(ctx, c.owner))
 			}()
 		}
 	}
 }
 
-// watched returns the lines to call: those in use, and those that are deaf.
-func (p *pulse) watched(now time.Time) []*line {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	var out []*line
-	for id, l := range p.lines {
-		if l.asking > 0 || (l.deaf && now.Sub(l.lostAt) < forgetAfter) {
-			out = append(out, l)
+// connsToPing returns the connections in use and the unresponsive ones, and forgets the others.
+func (m *brokerMonitor) connsToPing(now time.Time) []*brokerConn {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	var out []*brokerConn
+	for id, c := range m.conns {
+		if c.pendingAsks > 0 || (c.unresponsive && now.Sub(c.lostAt) < forgetAfterLoss) {
+			out = append(out, c)
 			continue
 		}
-		delete(p.lines, id)
+		delete(m.conns, id)
 	}
 	return out
 }
 
-// answers calls a broker and reports whether it answers.
-func (p *pulse) answers(ctx context.Context, owner wire.Member) bool {
-	ctx, cancel := context.WithTimeout(ctx, pulseTimeout)
+// ping calls a broker and reports whether it answers.
+func (m *brokerMonitor) ping(ctx context.Context, owner wire.Member) bool {
+	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
-	return p.peers.Call(ctx, owner.PeerAddress, broker.MethodPing, struct{}{}, nil) == nil
+	return m.peers.Call(ctx, owner.PeerAddress, broker.MethodPing, struct{}{}, nil) == nil
 }
 
-// set notes whether a broker answers. A connection that has turned deaf is
+// recordPing records whether a broker answered. An unresponsive connection is
 // dropped, so that the next call opens another.
-func (p *pulse) set(l *line, answers bool) {
-	p.mu.Lock()
-	turned := l.deaf == answers
+func (m *brokerMonitor) recordPing(c *brokerConn, answers bool) {
+	m.mu.Lock()
+	turned := c.unresponsive == answers
 	if turned && answers {
-		l.deaf, l.broken = false, make(chan struct{})
+		c.unresponsive, c.lost = false, make(chan struct{})
 	}
 	if turned && !answers {
-		l.turnDeaf(clock.Now())
+		c.markUnresponsive(clock.Now())
 	}
-	p.mu.Unlock()
+	m.mu.Unlock()
 	if !answers {
-		p.peers.Drop(l.owner.PeerAddress)
+		m.peers.Drop(c.owner.PeerAddress)
 	}
 }
