--- a/internal/discovery/leaving_test.go
+++ b/internal/discovery/leaving_test.go
@@ -15,9 +15,9 @@
 	gone := feed.Row{Key: "a", Version: 2, Deleted: true}
 	gossip := func(born int64) []discovery.GossipEntry { return []discovery.GossipEntry{{Engine: "a", Born: born}} }
 	for _, test := range []struct {
-		name  string
-		said  func(d *discovery.Discovery)
-		works bool // works is set if the engine is to get work then.
+		name     string
+		update   func(d *discovery.Discovery)
+		getsWork bool // getsWork is set if the engine is to get work then.
 	}{
 		{"nothing", func(*discovery.Discovery) {}, true},
 		{"leaving", func(d *discovery.Discovery) { d.Leaves(start, "a", 1) }, false},
@@ -45,11 +45,11 @@
 		got := engineStates{}
 		d := discovery.New(decodeEngine, got, 2*time.Second, quiet)
 		d.Apply(start, []feed.Row{startEntry("a", 1, false, 1)})
-		test.said(d)
-		if got["a"].Draining == test.works {
+		test.update(d)
+		if got["a"].Draining == test.getsWork {
 			t.Errorf("%s: %+v", test.name, got["a"])
 		}
-		if list := d.GossipEntries(start.Add(time.Minute), time.Second); (len(list) == 1) == test.works {
+		if list := d.GossipEntries(start.Add(time.Minute), time.Second); (len(list) == 1) == test.getsWork {
 			t.Errorf("%s: gossip is %v", test.name, list)
 		}
 	}
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -80,36 +80,36 @@
 // TestNewestLimitApplies checks which announcement of a limit applies, from an engine's own answers and from gossip.
 func TestNewestLimitApplies(t *testing.T) {
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
-	names := func(l *limit.Limits, ms int, rate float64) { l.Answered(at(ms), at(ms-10), "e", rate, true) }
+	announce := func(l *limit.Limits, ms int, rate float64) { l.Answered(at(ms), at(ms-10), "e", rate, true) }
 	gossip := func(rate float64, ageMs int64) []limit.GossipEntry {
 		return []limit.GossipEntry{{Engine: "e", Rate: rate, AgeMs: ageMs}}
 	}
 	for _, test := range []struct {
-		name string
-		said func(l *limit.Limits)
-		want float64 // want is the rate that applies then; 0 for none.
+		name   string
+		update func(l *limit.Limits)
+		want   float64 // want is the rate that applies then; 0 for none.
 	}{
 		{"nothing", func(*limit.Limits) {}, 0},
-		{"a limit", func(l *limit.Limits) { names(l, 0, 1.2) }, 1.2},
-		{"a limit of zero", func(l *limit.Limits) { names(l, 0, 0) }, 0.2},
-		{"above the maximum rate", func(l *limit.Limits) { names(l, 0, 1e9) }, 0},
-		{"lowered", func(l *limit.Limits) { names(l, 0, 6); names(l, 100, 0.5) }, 0.5},
-		{"ended by an answer", func(l *limit.Limits) { names(l, 0, 1); l.Answered(at(50), at(20), "e", 0, false) }, 0},
-		{"an answer to an earlier request", func(l *limit.Limits) { names(l, 0, 1); l.Answered(at(50), at(-20), "e", 0, false) }, 1},
+		{"a limit", func(l *limit.Limits) { announce(l, 0, 1.2) }, 1.2},
+		{"a limit of zero", func(l *limit.Limits) { announce(l, 0, 0) }, 0.2},
+		{"above the maximum rate", func(l *limit.Limits) { announce(l, 0, 1e9) }, 0},
+		{"lowered", func(l *limit.Limits) { announce(l, 0, 6); announce(l, 100, 0.5) }, 0.5},
+		{"ended by an answer", func(l *limit.Limits) { announce(l, 0, 1); l.Answered(at(50), at(20), "e", 0, false) }, 0},
+		{"an answer to an earlier request", func(l *limit.Limits) { announce(l, 0, 1); l.Answered(at(50), at(-20), "e", 0, false) }, 1},
 		{"gossip", func(l *limit.Limits) { l.MergeGossip(at(0), gossip(2, 100)) }, 2},
-		{"older gossip", func(l *limit.Limits) { names(l, 0, 1); l.MergeGossip(at(100), gossip(2, 200)) }, 1},
-		{"gossip of its end", func(l *limit.Limits) { names(l, 0, 1); l.MergeGossip(at(100), gossip(0, 50)) }, 0},
+		{"older gossip", func(l *limit.Limits) { announce(l, 0, 1); l.MergeGossip(at(100), gossip(2, 200)) }, 1},
+		{"gossip of its end", func(l *limit.Limits) { announce(l, 0, 1); l.MergeGossip(at(100), gossip(0, 50)) }, 0},
 		{"old gossip after its end", func(l *limit.Limits) {
-			names(l, 0, 1)
+			announce(l, 0, 1)
 			l.MergeGossip(at(100), gossip(0, 50))
 			l.MergeGossip(at(200), gossip(1, 200))
 		}, 0},
 		{"invalid gossip", func(l *limit.Limits) { l.MergeGossip(at(0), gossip(-1, 0)); l.MergeGossip(at(0), gossip(1, -5)) }, 0},
-		{"engine restarted", func(l *limit.Limits) { names(l, 0, 1); l.Forget("e") }, 0},
-		{"expired", func(l *limit.Limits) { names(l, -301_000, 1); l.GossipEntries(at(200), time.Second) }, 0},
+		{"engine restarted", func(l *limit.Limits) { announce(l, 0, 1); l.Forget("e") }, 0},
+		{"expired", func(l *limit.Limits) { announce(l, -301_000, 1); l.GossipEntries(at(200), time.Second) }, 0},
 	} {
 		l := newLimits()
-		test.said(l)
+		test.update(l)
 		rate, _, ok := l.Rate(at(200), "e")
 		if _, opens := l.Opens("e"); rate != test.want || ok != (test.want > 0) || opens != ok {
 			t.Errorf("%s: rate %v, %v, listed %v, want %v", test.name, rate, ok, opens, test.want)
--- a/internal/limit/permits.go
+++ b/internal/limit/permits.go
@@ -23,7 +23,7 @@
 )
 
 // errNoIssuer is returned if no node that could issue the permits is reachable.
-var errNoIssuer = errors.New("limit: no node issues the permits")
+var errNoIssuer = errors.New("limit: no reachable node issues the permits")
 
 type (
 	// Caller calls peers.
@@ -120,7 +120,7 @@
 	defer cancel()
 	reply := &PermitReply{}
 	if err := p.caller.Call(ctx, node.Address, MethodPermit, req, reply); err != nil {
-		return nil, fmt.Errorf("ask for a permit: %w", err)
+		return nil, fmt.Errorf("request a permit: %w", err)
 	}
 	return reply, nil
 }
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -1,5 +1,5 @@
 // Package quarantine withholds requests that crash engines. It identifies equal requests, counts the engines
-// that crashed while running each, and decides which requests are no longer sent to engines.
+// that crashed while running each, and decides which requests are held, that is, no longer sent to engines.
 package quarantine
 
 import (
--- a/internal/quarantine/keeper_test.go
+++ b/internal/quarantine/keeper_test.go
@@ -86,6 +86,6 @@
 	expired := newQuarantine(never)
 	runPersister(t, expired, old)
 	if tx := <-old.written; len(tx.Delete) != 1 || expired.Len() != 0 {
-		t.Errorf("of a row of long ago: %+v, %d held", tx, expired.Len())
+		t.Errorf("after loading an expired row: %+v, %d held", tx, expired.Len())
 	}
 }
